--- a/birchlever/accounts/account_book.cpp
+++ b/birchlever/accounts/account_book.cpp
@@ -13,7 +13,7 @@
 
 auto check(const client_account& account) -> status {
   if (account.name_.empty()) {
-    return invalid("an account has no name");
+    return invalid("account without a name");
   }
   auto sound = [](double number) { return std::isfinite(number) && number >= 0; };
   if (!sound(account.allotment_.rate_per_s_) || !sound(account.allotment_.burst_)) {
@@ -28,7 +28,7 @@
   for (const auto& digest : accounts_[index].key_digests_) {
     auto [place, added] = by_digest_.emplace(digest, index);
     if (!added && place->second != index) {
-      return invalid("key " + shown_digest(digest) + " belongs to two accounts: " +
+      return invalid("key " + shown_digest(digest) + " is assigned to two accounts: " +
                      accounts_[place->second].name_ + " and " + accounts_[index].name_);
     }
   }
@@ -46,7 +46,7 @@
       return failure(checked);
     }
     if (!made->by_name_.emplace(account.name_, index).second) {
-      return invalid("account " + account.name_ + " stands twice");
+      return invalid("account " + account.name_ + " is defined twice");
     }
     auto added = made->add_keys_of(index);
     if (!ok(added)) {
--- a/birchlever/accounts/account_book.h
+++ b/birchlever/accounts/account_book.h
@@ -1,4 +1,4 @@
-/// All client accounts of one configuration, found by key or by name in constant time.
+/// Registry of the client accounts of one configuration, with constant-time lookup by key digest and by name.
 #pragma once
 
 #include <memory>
@@ -12,18 +12,19 @@
 
 namespace birchlever {
 
-/// Checked and immutable: a request keeps the book it was judged by.
+/// Immutable after creation. A request keeps the registry that it was authorized against.
 class account_book {
  public:
-  /// Failures: invalid_account for an account without a name, one that stands twice, a negative rate or
-  /// burst, or a key that two accounts hold. The message names accounts and digests' beginnings, never a key.
+  /// Validates the accounts and creates the registry. Failures: invalid_account for an empty or duplicate
+  /// name, a negative or non-finite rate or burst, or a key assigned to two accounts. Messages contain
+  /// account names and abbreviated digests, never keys.
   static auto create(std::vector<client_account> accounts) -> result<std::shared_ptr<const account_book>>;
 
-  /// The account that holds a key, by the key's digest; none when nobody does. Of digests, a lookup's
-  /// duration tells nothing useful about keys.
+  /// Returns the account that a key with this digest is assigned to, or null. Lookup need not be
+  /// constant-time with respect to the input, since timing could only reveal digests.
   [[nodiscard]] auto holder_of(const std::string& key_digest) const -> const client_account*;
 
-  /// The account of a name, or none.
+  /// Returns the account with the given name, or null.
   [[nodiscard]] auto find(const std::string& name) const -> const client_account*;
 
   [[nodiscard]] auto accounts() const -> const std::vector<client_account>& { return accounts_; }
--- a/birchlever/accounts/account_usage.cpp
+++ b/birchlever/accounts/account_usage.cpp
@@ -9,7 +9,7 @@
 namespace birchlever {
 namespace {
 
-constexpr auto rest_name = "(others)";  // No account's name: those have no brackets in a label.
+constexpr auto rest_name = "(others)";
 
 auto keys_line(const client_account& account) -> std::string {
   auto text = std::ostringstream{};
--- a/birchlever/accounts/account_usage.h
+++ b/birchlever/accounts/account_usage.h
@@ -1,4 +1,4 @@
-/// What client accounts asked of this daemon and what they got, in a bounded number of metrics.
+/// Request counters per client account, exported as a bounded number of metrics.
 #pragma once
 
 #include <cstdint>
@@ -10,14 +10,14 @@
 
 namespace birchlever {
 
-/// Counts by account and by how requests ended. Not thread safe: for one loop.
+/// Counts requests by account and HTTP status. Not thread-safe; use from one event loop.
 class account_usage {
  public:
-  /// A request ended with a status; 0 when its caller got none.
+  /// Records a finished request. `status` is 0 if no status was sent to the caller.
   auto note(const std::string& account, int status) -> void;
 
-  /// Prometheus text: the `most` accounts that asked most, each with its requests by status and the
-  /// beginnings of its keys' digests, and all others in one sum. `book` may be null.
+  /// Returns the counters in Prometheus text format: the `most` accounts with the most requests, each with
+  /// its requests by status and its abbreviated key digests, and the sum of all others. `book` may be null.
   [[nodiscard]] auto to_prometheus(const account_book* book, std::size_t most) const -> std::string;
 
  private:
--- a/birchlever/accounts/allotment_bucket.cpp
+++ b/birchlever/accounts/allotment_bucket.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr auto ms_per_second = 1000.0;
-constexpr auto least_burst = 1.0;       // A bucket that can't hold one request would grant none.
-constexpr auto duration_weight = 0.05;  // Of the newest program in the mean duration.
+constexpr auto least_burst = 1.0;       // A smaller bucket could never grant a request.
+constexpr auto duration_weight = 0.05;  // Smoothing factor of the mean program duration.
 
 }  // namespace
 
--- a/birchlever/accounts/allotment_bucket.h
+++ b/birchlever/accounts/allotment_bucket.h
@@ -1,8 +1,8 @@
-/// One account's allotment where a single daemon grants it: a token bucket, and how many programs fit in it.
+/// Token bucket for the allotment of one account, with admission control per program.
 ///
-/// What is refused are programs, not turns: once the programs that were let begin will use up what the
-/// allotment holds, no further one may begin, and those that did are carried through. Scattered refusals
-/// would spoil every program of an account that is over its limit.
+/// Above the limit new programs are refused rather than turns of started ones: a program is admitted only if
+/// the allotment covers the expected requests of all programs already started. Refusing arbitrary requests
+/// would make every program of the account fail.
 #pragma once
 
 #include <optional>
@@ -11,43 +11,41 @@
 
 namespace birchlever {
 
-/// How a bucket grants. Times in ms.
+/// Settings of allotment_bucket. Times in ms.
 struct allotment_bucket_settings {
-  double first_share_ = 0.25;  ///< Of the burst that a new bucket holds: what was granted before by another
-                               ///< daemon is not known. A rule's usual slack is a tenth of five seconds.
-  double overdraft_ = 0;  ///< Requests beyond the allotment that begun programs may send at once; they are
-                          ///< taken off what comes. Programs of an account whose whole allotment holds less
-                          ///< than one program would else all be spoiled.
-  milliseconds longest_wait_ =
-      1000;  ///< A request of a begun program waits at most so long for its place: less
-             ///< than a refusal and a return, and no try of its caller is spent.
-  milliseconds least_retry_ = 250;
-  milliseconds longest_retry_ = 5000;
-  double programs_fill_ = 0.5;  ///< Share of a program's duration over which its later requests are spread at
-                                ///< the mean.
-  milliseconds least_program_ = 500;
+  double first_share_ = 0.25;  ///< Initial fill level of a new bucket, as a fraction of the burst; low
+                               ///< because another daemon may have granted requests before.
+  double overdraft_ = 0;  ///< Requests that started programs may send beyond the allotment; deducted from
+                          ///< later refills. Lets programs finish that need more than the burst.
+  milliseconds longest_wait_ = 1000;   ///< Maximum time that a request of a started program is delayed.
+  milliseconds least_retry_ = 250;     ///< Lower limit of retry_after_.
+  milliseconds longest_retry_ = 5000;  ///< Upper limit of retry_after_.
+  double programs_fill_ = 0.5;         ///< Fraction of the mean program duration over which the requests of
+                                       ///< started programs are expected to arrive.
+  milliseconds least_program_ = 500;   ///< Lower limit of the program duration used in estimates.
 };
 
-/// A pure function of claims and times.
+/// Deterministic: depends only on the claims and the times passed in.
 class allotment_bucket {
  public:
   explicit allotment_bucket(const allotment_bucket_settings& settings = {}) : settings_{settings} {}
 
-  /// Grants or refuses a claim. `share` is the part of the allotment that may be granted here, 0 to 1.
-  /// Without `may_overdraw` begun programs get no more than the allotment.
+  /// Grants or refuses a claim. `share` is the fraction of the allotment that may be granted here, 0 to 1.
+  /// Unless `may_overdraw` is set, the overdraft is not available to started programs.
   auto claim(const allotment_claim& wanted, double share, milliseconds now, bool may_overdraw = true)
       -> allotment_verdict;
 
-  /// Begins anew with this part of the burst at most: others may have granted meanwhile.
+  /// Restarts the bucket with at most this fraction of the burst, since other daemons may have granted
+  /// requests meanwhile.
   auto reopen(const account_allotment& allotment, double part, milliseconds now) -> void;
 
-  /// Another daemon granted so many.
+  /// Deducts requests that another daemon granted.
   auto debit(double tokens) -> void { level_ -= tokens; }
 
-  /// Requests that may be granted at once; negative when places of the future were granted.
+  /// Requests that may be granted immediately; negative if delayed requests were granted.
   [[nodiscard]] auto level() const -> double { return level_; }
 
-  /// Requests that programs which were let begin are expected to send yet.
+  /// Requests that started programs are still expected to send.
   [[nodiscard]] auto committed() const -> double { return committed_; }
 
  private:
@@ -59,7 +57,7 @@
   allotment_bucket_settings settings_;
   double level_ = 0;
   double committed_ = 0;
-  double program_ms_ = 0;  ///< Mean duration of programs that began here.
+  double program_ms_ = 0;  ///< Moving average of the duration of programs started here.
   std::optional<milliseconds> filled_at_;
 };
 
--- a/birchlever/accounts/allotment_policy.h
+++ b/birchlever/accounts/allotment_policy.h
@@ -1,5 +1,5 @@
-/// How the allotment of a client account is kept by all daemons together. Two ways stand behind this
-/// interface: `equal_shares` and `central_grants`.
+/// Interface for enforcing the allotments of client accounts across all daemons. Implemented by
+/// `equal_shares` and `central_grants`.
 #pragma once
 
 #include <string>
@@ -10,28 +10,28 @@
 
 namespace birchlever {
 
-/// A request that wants a place in its account's allotment.
+/// Asks for one request to be counted against its account's allotment.
 struct allotment_claim {
   std::string account_;
   account_allotment allotment_;
-  bool begins_program_ = false;  ///< More requests of the same program will follow, if this one runs.
-  double program_requests_ = 1;  ///< So many at the mean, this one included.
-  milliseconds program_ms_ = 0;  ///< Within so long.
+  bool begins_program_ = false;  ///< First request of a program.
+  double program_requests_ = 1;  ///< Expected number of requests of the program, this one included.
+  milliseconds program_ms_ = 0;  ///< Expected duration of the program in ms.
 };
 
-/// The answer to a claim.
+/// Result of a claim.
 struct allotment_verdict {
   bool granted_ = false;
-  milliseconds wait_ = 0;         ///< Granted: ms until the request may be sent on.
-  milliseconds retry_after_ = 0;  ///< Refused: ms after which the allotment has room, as far as is known.
+  milliseconds wait_ = 0;         ///< If granted: ms to wait before the request is forwarded.
+  milliseconds retry_after_ = 0;  ///< If refused: estimated ms until a claim can be granted.
 };
 
-/// For coroutines of one loop.
+/// Not thread-safe; use from one event loop.
 class allotment_policy {
  public:
   virtual ~allotment_policy() = default;
 
-  /// Takes one request's place, or refuses it.
+  /// Grants or refuses one request.
   virtual auto claim(allotment_claim wanted) -> task<allotment_verdict> = 0;
 };
 
--- a/birchlever/accounts/client_account.h
+++ b/birchlever/accounts/client_account.h
@@ -1,4 +1,4 @@
-/// A client account: who may send requests, how urgent they are, and how many there may be.
+/// Client account: credentials, priority and limits of a sender of requests.
 #pragma once
 
 #include <cstdint>
@@ -8,27 +8,25 @@
 
 namespace birchlever {
 
-/// How many requests of one account may run, over all daemons together. Turns, tools and repeated tries count
-/// alike.
+/// Rate limit of one account across all daemons. Turns, tool calls and retries each count as one request.
 struct account_allotment {
-  double rate_per_s_ = 0;  ///< Requests a second; 0 means no limit at all.
-  double burst_ = 0;       ///< Requests on top of the rate, at once.
+  double rate_per_s_ = 0;  ///< Requests per second; 0 means unlimited.
+  double burst_ = 0;       ///< Requests allowed on top of the rate.
 
-  /// True when the account is limited.
   [[nodiscard]] auto limited() const -> bool { return rate_per_s_ > 0; }
 
-  /// Requests that any span of so many seconds may hold.
+  /// Returns the maximum number of requests within any period of the given length.
   [[nodiscard]] auto most_in(double seconds) const -> double { return rate_per_s_ * seconds + burst_; }
 };
 
-/// One account. Plain data; `account_book` checks it.
+/// Configuration of one account. Validated by `account_book`.
 struct client_account {
   std::string name_;
-  std::vector<std::string> key_digests_;  ///< SHA-256 of each of its keys, in hexadecimal.
-  std::optional<int> rank_;               ///< 0 is the most urgent; goes before the route's rank.
+  std::vector<std::string> key_digests_;  ///< Hexadecimal SHA-256 digests of its keys.
+  std::optional<int> rank_;               ///< Priority, 0 being the highest; overrides the route's rank.
   account_allotment allotment_;
-  std::int64_t max_in_flight_ = 256;          ///< Calls it may have under way on one daemon of `serve`.
-  std::vector<std::string> allowed_regions_;  ///< It is served there only; empty: anywhere.
+  std::int64_t max_in_flight_ = 256;          ///< Maximum number of concurrent calls per `serve` daemon.
+  std::vector<std::string> allowed_regions_;  ///< Regions that may serve it; empty for no restriction.
 };
 
 }  // namespace birchlever
--- a/birchlever/accounts/equal_shares.h
+++ b/birchlever/accounts/equal_shares.h
@@ -1,6 +1,6 @@
-/// Every daemon grants an equal part of each account's allotment, whatever the others do: needs no message
-/// and holds when daemons do not reach each other, but refuses where an account's requests do not come
-/// evenly.
+/// Allotment policy that divides every allotment equally among all daemons. Needs no communication and holds
+/// during network partitions, but refuses requests within the allotment if an account's traffic is unevenly
+/// distributed.
 #pragma once
 
 #include <deque>
@@ -12,18 +12,17 @@
 
 namespace birchlever {
 
-/// How shares are kept.
+/// Settings of equal_shares.
 struct equal_shares_settings {
-  milliseconds window_ =
-      5000;          ///< ms of the sliding window in which an allotment is counted: the platform's.
-  double part_ = 1;  ///< Of every share that is granted.
-  double begun_reserve_ = 0.5;  ///< Share of what may be granted that is kept for programs that have begun.
+  milliseconds window_ = 5000;  ///< Length in ms of the sliding window in which requests are counted.
+  double part_ = 1;             ///< Fraction of this daemon's share that may be granted.
+  double begun_reserve_ = 0.5;  ///< Fraction reserved for requests of started programs.
 };
 
-/// For coroutines of one loop.
+/// Not thread-safe; use from one event loop.
 class equal_shares final : public allotment_policy {
  public:
-  /// Yields how many daemons there are, this one included.
+  /// Returns the number of daemons, this one included.
   using count_function = std::function<std::int64_t()>;
 
   equal_shares(const equal_shares_settings& settings, count_function daemons,
@@ -32,10 +31,10 @@
 
   auto claim(allotment_claim wanted) -> task<allotment_verdict> override;
 
-  /// Likewise, at once.
+  /// Synchronous form of claim().
   auto decide(const allotment_claim& wanted) -> allotment_verdict;
 
-  /// A request of the account was granted by someone else and runs through this daemon.
+  /// Records a request that another daemon granted and this daemon forwards.
   auto note_granted(const std::string& account) -> void;
 
  private:
@@ -46,7 +45,7 @@
   equal_shares_settings settings_;
   count_function daemons_;
   std::shared_ptr<const clock_interface> clock_;
-  std::unordered_map<std::string, moments> granted_;  ///< When, by account; within the window.
+  std::unordered_map<std::string, moments> granted_;  ///< Grant times within the window, by account.
 };
 
 }  // namespace birchlever
--- a/birchlever/accounts/grantor_desk.h
+++ b/birchlever/accounts/grantor_desk.h
@@ -1,4 +1,4 @@
-/// All accounts that one daemon grants for, as their first daemon or standing in for it.
+/// Grants allotments of the accounts for which this daemon is the primary or a backup grantor.
 #pragma once
 
 #include <string>
@@ -8,33 +8,36 @@
 
 namespace birchlever {
 
-/// How a daemon stands in. Times in ms.
+/// Settings of grantor_desk. Times in ms.
 struct grantor_desk_settings {
   allotment_bucket_settings buckets_;
-  double first_stand_in_share_ = 0.5;  ///< Of the allotment, while it is not known yet whether the silent
-                                       ///< daemon is dead or behind a cut and grants there.
-  milliseconds unsure_ = 1200;         ///< For so long: then a cut shows in what is heard of the fleet.
-  milliseconds break_ = 2000;          ///< After so long without a claim another daemon may have granted.
+  double first_stand_in_share_ =
+      0.5;                      ///< Maximum fraction of the allotment that a new backup grantor grants,
+                                ///< since the primary may still be granting behind a network partition.
+  milliseconds unsure_ = 1200;  ///< Duration of that limit; by then a partition has been detected.
+  milliseconds break_ = 2000;   ///< Time without claims after which the bucket is restarted, since
+                                ///< another daemon may have granted meanwhile.
 };
 
-/// A pure function of claims and times.
+/// Deterministic: depends only on the claims and the times passed in.
 class grantor_desk {
  public:
   explicit grantor_desk(const grantor_desk_settings& settings = {}) : settings_{settings} {}
 
-  /// Grants or refuses. `share` is the part of the fleet that is reached; `first` says whether this daemon is
-  /// the account's first. `granted_alone` requests ran through the asker without any grantor.
+  /// Grants or refuses a claim. `share` is the reachable fraction of the fleet, `first` is set if this daemon
+  /// is the account's primary grantor, and `granted_alone` is the number of requests that the requesting
+  /// daemon forwarded without a grantor.
   auto claim(const allotment_claim& wanted, double share, bool first, double granted_alone, milliseconds now)
       -> allotment_verdict;
 
-  /// Another daemon granted so many of the account's requests.
+  /// Deducts requests of the account that another daemon granted.
   auto debit(const std::string& account, double tokens) -> void;
 
  private:
   struct counter {
     allotment_bucket bucket_;
-    milliseconds since_ = 0;    ///< Of this row of claims.
-    milliseconds claimed_ = 0;  ///< The latest.
+    milliseconds since_ = 0;    ///< Start of the current sequence of claims.
+    milliseconds claimed_ = 0;  ///< Time of the latest claim.
   };
 
   grantor_desk_settings settings_;
--- a/birchlever/accounts/grantor_order.h
+++ b/birchlever/accounts/grantor_order.h
@@ -1,6 +1,5 @@
-/// Which daemon grants an account's requests: the first that answers in the account's own order of all
-/// daemons. Every daemon computes the same order from the same list, so no election is held and nothing is
-/// stored.
+/// Selects the grantor of an account by rendezvous hashing. All daemons compute the same order from the same
+/// membership list, so neither an election nor stored state is needed.
 #pragma once
 
 #include <string>
@@ -11,40 +10,39 @@
 
 namespace birchlever {
 
-/// How daemons that do not answer are passed over. Times in ms.
+/// Settings of grantor_order. Times in ms.
 struct grantor_order_settings {
-  std::string vm_;                      ///< This daemon.
-  milliseconds first_pass_over_ = 500;  ///< After its first silence; doubled with each further one. A restart
-                                        ///< takes a second.
-  milliseconds longest_pass_over_ = 8000;
-  std::size_t most_candidates_ = 2;  ///< Daemons that are asked for one request.
-  std::size_t most_grantors_ = 5;    ///< Daemons that may ever grant for one account: few, so that a daemon
-                                     ///< behind a cut seldom takes itself for one; of five, one mostly lives
-                                     ///< when half are lost.
+  std::string vm_;                      ///< VM of this daemon.
+  milliseconds first_pass_over_ = 500;  ///< Initial time for which an unresponsive daemon is skipped; doubled
+                                        ///< each further time.
+  milliseconds longest_pass_over_ = 8000;  ///< Upper limit of that time.
+  std::size_t most_candidates_ = 2;        ///< Maximum number of daemons asked per request.
+  std::size_t most_grantors_ = 5;          ///< Maximum number of daemons eligible as grantors of one account;
+                                           ///< limits how many grant at once during a network partition.
 };
 
-/// A pure function of the list, of answers and of times.
+/// Deterministic: depends only on the membership list, the recorded responses and the times passed in.
 class grantor_order {
  public:
   explicit grantor_order(grantor_order_settings settings) : settings_{std::move(settings)} {}
 
-  /// All daemons listed, this one excluded.
+  /// Sets the other members of the fleet, without this daemon.
   auto set_members(std::vector<std::string> vms) -> void { members_ = std::move(vms); }
 
-  /// Daemons listed, this one included.
+  /// Returns the number of daemons, this one included.
   [[nodiscard]] auto size() const -> std::size_t { return members_.size() + 1; }
 
-  /// Whom to ask, best first, without those that are passed over now. May be empty.
+  /// Returns the daemons to ask in order of preference, without those being skipped. May be empty.
   [[nodiscard]] auto candidates(const std::string& account, milliseconds now) const
       -> std::vector<std::string>;
 
-  /// The first of the order, whether it answers or not.
+  /// Returns the primary grantor, responsive or not.
   [[nodiscard]] auto first(const std::string& account) const -> std::string;
 
-  /// It was asked and did not answer.
+  /// Records that a daemon did not respond.
   auto note_silent(const std::string& vm, milliseconds now) -> void;
 
-  /// Something was heard of it.
+  /// Records a message from a daemon, which ends its backoff.
   auto note_heard(const std::string& vm) -> void { silent_.erase(vm); }
 
  private:
--- a/birchlever/accounts/key_digest.cpp
+++ b/birchlever/accounts/key_digest.cpp
@@ -7,7 +7,7 @@
 namespace birchlever {
 namespace {
 
-constexpr auto shown_letters = std::size_t{8};  // 32 bits: one of 4,800 keys is mistaken once in a million.
+constexpr auto shown_letters = std::size_t{8};
 
 }  // namespace
 
--- a/birchlever/accounts/key_digest.h
+++ b/birchlever/accounts/key_digest.h
@@ -1,5 +1,4 @@
-/// Digests of callers' keys. A key itself is read once and kept nowhere: not in memory, logs, metrics or
-/// errors.
+/// Digests of client keys. Keys themselves must not be stored or written to logs, metrics or errors.
 #pragma once
 
 #include <string>
@@ -7,10 +6,10 @@
 
 namespace birchlever {
 
-/// SHA-256 of a text, in hexadecimal.
+/// Returns the SHA-256 digest of a text in hexadecimal.
 [[nodiscard]] auto sha256_of(std::string_view text) -> std::string;
 
-/// The beginning of a digest, enough to tell keys apart in logs and far too little to find one.
+/// Returns the leading digits of a digest, which identify a key in logs without revealing it.
 [[nodiscard]] auto shown_digest(std::string_view digest) -> std::string;
 
 }  // namespace birchlever
--- a/birchlever/accounts/program_sizes.cpp
+++ b/birchlever/accounts/program_sizes.cpp
@@ -6,8 +6,8 @@
 namespace birchlever {
 namespace {
 
-constexpr auto fade_ms = 60000.0;  // Many programs long, so that a burst of first turns does not make
-                                   // programs look short.
+constexpr auto fade_ms = 60000.0;  // Decay time constant; much longer than a program, so that a burst of new
+                                   // programs does not bias the estimate.
 
 }  // namespace
 
--- a/birchlever/accounts/reached_share.cpp
+++ b/birchlever/accounts/reached_share.cpp
@@ -6,7 +6,7 @@
 namespace birchlever {
 namespace {
 
-constexpr auto good_share = 0.85;  // Of the peers that chance lets be heard: three deviations at 67 daemons.
+constexpr auto good_share = 0.85;  // Tolerates peers that random fan-out happens to leave out.
 
 }  // namespace
 
--- a/birchlever/policy/baseline_policies.cpp
+++ b/birchlever/policy/baseline_policies.cpp
@@ -9,14 +9,16 @@
 namespace {
 
 auto no_engine() -> error {
-  return error{error_code::no_upstream, "no engine can take this call now", ran_state::not_run, 1000};
+  return error{error_code::no_upstream, "no eligible engine is available for this call", ran_state::not_run,
+               1000};
 }
 
 auto load_ratio(const engine_view& engine) -> double {
   return corrected_load(engine) / std::max(1.0, engine.capacity_);
 }
 
-/// Eligible engines with their load as cost, in order, beginning at a place that the seed gives.
+/// Returns the eligible engines with their load as cost. The seed selects the starting index, which breaks
+/// ties.
 auto weigh_by_load(const call_view& call, const std::vector<engine_view>& engines) -> std::vector<candidate> {
   auto candidates = std::vector<candidate>{};
   for (auto step = std::size_t{0}; step < engines.size(); ++step) {
--- a/birchlever/policy/baseline_policies.h
+++ b/birchlever/policy/baseline_policies.h
@@ -1,21 +1,21 @@
-/// The policies that the product's own is compared with.
+/// Baseline policies that the program-aware policy is compared with.
 #pragma once
 
 #include "birchlever/policy/policy_interface.h"
 
 namespace birchlever {
 
-/// Each call to an engine drawn evenly by the call's seed; the seed rises by one a call, so it goes round.
+/// Selects engines in rotation. The call's seed is the rotation index.
 class round_robin_policy final : public policy_interface {
  public:
   [[nodiscard]] auto choose(const call_view& call, const std::vector<engine_view>& engines) const
       -> result<decision> override;
 };
 
-/// The engine with the fewest calls for its size.
+/// Selects the engine with the lowest load relative to its capacity.
 class least_loaded_policy final : public policy_interface {
  public:
-  /// `connection_worth`: calls by which an engine may be fuller when a kept connection to it is free.
+  /// `connection_worth`: load, in calls, that an idle pooled connection to an engine offsets.
   explicit least_loaded_policy(double connection_worth) : connection_worth_{connection_worth} {}
 
   [[nodiscard]] auto choose(const call_view& call, const std::vector<engine_view>& engines) const
@@ -25,7 +25,7 @@
   double connection_worth_ = 0;
 };
 
-/// The engine that holds most of the prompt, unless it is overloaded.
+/// Selects the engine with the longest cached prefix of the prompt, unless that engine is overloaded.
 class prefix_affinity_policy final : public policy_interface {
  public:
   explicit prefix_affinity_policy(double overload) : overload_{overload} {}
@@ -37,7 +37,7 @@
   double overload_ = 0;
 };
 
-/// Least loaded, and programs that received the least service run first.
+/// Selects the least loaded engine and gives priority to programs that have received the least service.
 class least_attained_service_policy final : public policy_interface {
  public:
   explicit least_attained_service_policy(double step) : step_{step} {}
--- a/birchlever/policy/policy_book.h
+++ b/birchlever/policy/policy_book.h
@@ -1,4 +1,4 @@
-/// The policies in force, by name, made once per configuration generation.
+/// Registry of the configured policies, rebuilt for each configuration generation.
 #pragma once
 
 #include <map>
@@ -12,19 +12,19 @@
 
 namespace birchlever {
 
-/// Thread safe. An unknown name gives the default policy, so that a program whose policy was retired goes on.
+/// Thread-safe. Unknown names resolve to the default policy, so that programs whose policy was removed keep
+/// running.
 class policy_book {
  public:
   policy_book();
 
-  /// Replaces all policies. Shadows are asked beside the policy that acts.
+  /// Replaces all policies. Shadow policies are evaluated for comparison; their decisions are not applied.
   auto load(const std::map<std::string, policy_settings>& policies, const std::vector<std::string>& shadows)
       -> void;
 
-  /// The policy of that name, or the default one.
+  /// Returns the policy with the given name, or the default policy.
   [[nodiscard]] auto find(const std::string& name) const -> std::shared_ptr<const policy_interface>;
 
-  /// The shadow policies.
   [[nodiscard]] auto shadows() const
       -> std::vector<std::pair<std::string, std::shared_ptr<const policy_interface>>>;
 
--- a/birchlever/policy/policy_interface.h
+++ b/birchlever/policy/policy_interface.h
@@ -1,4 +1,4 @@
-/// How a policy decides: a pure function of what it is shown.
+/// Interface of placement policies.
 #pragma once
 
 #include <memory>
@@ -9,17 +9,18 @@
 
 namespace birchlever {
 
-/// What embedders supply to decide where a call runs. The same arguments give the same decision.
+/// Decides which engine runs a call. Implementations must be deterministic: equal arguments give equal
+/// decisions.
 class policy_interface {
  public:
   virtual ~policy_interface() = default;
 
-  /// Chooses an engine. Failures: no_upstream when none is eligible.
+  /// Selects an engine. Failures: no_upstream when no engine is eligible.
   [[nodiscard]] virtual auto choose(const call_view& call, const std::vector<engine_view>& engines) const
       -> result<decision> = 0;
 };
 
-/// Makes a policy of the project's own kinds. Failures: invalid_command.
+/// Creates one of the built-in policies. Failures: invalid_command.
 [[nodiscard]] auto make_policy(const policy_settings& settings) -> result<std::unique_ptr<policy_interface>>;
 
 }  // namespace birchlever
--- a/birchlever/policy/policy_settings.cpp
+++ b/birchlever/policy/policy_settings.cpp
@@ -49,7 +49,8 @@
     }
     known += (index == 0 ? "" : ", ") + std::string{kind_names.at(index)};
   }
-  return error{error_code::invalid_command, "no policy kind '" + std::string{name} + "'; there are " + known};
+  return error{error_code::invalid_command,
+               "unknown policy kind '" + std::string{name} + "'; known kinds: " + known};
 }
 
 auto parameters_of(policy_kind kind) -> std::vector<policy_parameter> {
--- a/birchlever/policy/policy_settings.h
+++ b/birchlever/policy/policy_settings.h
@@ -1,4 +1,4 @@
-/// A policy as operators make it: a kind and named, checked parameters.
+/// Policy configuration: a kind and its named parameters.
 #pragma once
 
 #include <map>
@@ -10,19 +10,19 @@
 
 namespace birchlever {
 
-/// The kinds of policy. The table in policy_settings.cpp gives their names and parameters.
+/// Policy kinds. Their names and parameters are listed in policy_settings.cpp.
 enum class policy_kind { round_robin, least_loaded, prefix_affinity, least_attained_service, program_aware };
 
-/// What an operator names when creating a policy.
+/// Configuration of one policy.
 struct policy_settings {
   policy_kind kind_ = policy_kind::program_aware;
-  std::map<std::string, double> parameters_;  ///< Only those that differ from their defaults.
+  std::map<std::string, double> parameters_;  ///< Overrides; parameters not listed have their default value.
 
-  /// A parameter's value, or its default.
+  /// Returns the configured value of a parameter, or its default; 0 if the kind has no such parameter.
   [[nodiscard]] auto parameter(const std::string& name) const -> double;
 };
 
-/// A parameter of a kind with its range.
+/// Describes a policy parameter: name, default, valid range and purpose.
 struct policy_parameter {
   std::string_view name_;
   double standard_ = 0;
@@ -31,16 +31,16 @@
   std::string_view purpose_;
 };
 
-/// The stable name of a kind.
+/// Returns the name of a kind as used in the configuration.
 [[nodiscard]] auto name_of(policy_kind kind) -> std::string_view;
 
-/// Finds a kind by name. Failures: invalid_command naming the known kinds.
+/// Parses the name of a kind. Failures: invalid_command, listing the known kinds.
 [[nodiscard]] auto parse_policy_kind(std::string_view name) -> result<policy_kind>;
 
-/// The parameters a kind knows.
+/// Returns the parameters that a kind accepts.
 [[nodiscard]] auto parameters_of(policy_kind kind) -> std::vector<policy_parameter>;
 
-/// Checks that every parameter is known and in range. Failures: invalid_command naming all faults.
+/// Checks that every parameter is known and within range. Failures: invalid_command, listing all violations.
 [[nodiscard]] auto check_policy(const policy_settings& settings) -> status;
 
 }  // namespace birchlever
--- a/birchlever/policy/policy_view.h
+++ b/birchlever/policy/policy_view.h
@@ -1,4 +1,4 @@
-/// What a policy may look at: read-only, with the age of everything that can be old.
+/// Input and output types of placement policies.
 #pragma once
 
 #include <cstdint>
@@ -7,26 +7,26 @@
 
 namespace birchlever {
 
-/// One engine as its owner sees it.
+/// Snapshot of an engine as known to the daemon that owns the call.
 struct engine_view {
   std::string id_;
   std::string data_hall_;
   std::vector<std::string> models_;
   std::string role_ = "both";
-  bool usable_ = true;            ///< Live, not leaving, not drained, not failing.
-  double running_ = 0;            ///< Streams, as reported.
-  double queued_ = 0;             ///< Calls waiting, as reported.
-  double capacity_ = 1;           ///< Streams that run at once.
-  double cache_tokens_ = 0;       ///< Prefix tokens held, as reported.
-  double cache_capacity_ = 1;     ///< Prefix tokens that fit.
-  double report_age_ms_ = 0;      ///< Age of the report.
-  double sent_since_report_ = 0;  ///< Calls this owner sent that the report cannot hold yet.
-  double done_since_report_ = 0;  ///< Calls this owner saw end since.
-  bool connected_ = false;        ///< A kept connection to it is free here.
-  double slowness_ = 1;           ///< Measured time per token over the expected one.
+  bool usable_ = true;            ///< Accepts calls: not leaving, drained or suspected of failing.
+  double running_ = 0;            ///< Active streams, from the load report.
+  double queued_ = 0;             ///< Queued calls, from the load report.
+  double capacity_ = 1;           ///< Maximum number of concurrent streams.
+  double cache_tokens_ = 0;       ///< Tokens in the prefix cache, from the load report.
+  double cache_capacity_ = 1;     ///< Capacity of the prefix cache, in tokens.
+  double report_age_ms_ = 0;      ///< Age of the load report.
+  double sent_since_report_ = 0;  ///< Calls sent by this daemon and not yet covered by the report.
+  double done_since_report_ = 0;  ///< Calls finished since the report.
+  bool connected_ = false;        ///< An idle pooled connection to the engine is available.
+  double slowness_ = 1;           ///< Ratio of the measured to the expected time per token.
 };
 
-/// What is known about a call and its program, beside the engines.
+/// Properties of a call and its program that policies may use.
 struct call_view {
   std::string program_;
   std::string model_;
@@ -36,14 +36,14 @@
   std::int64_t attained_tokens_ = 0;
   std::int64_t budget_remaining_ = 0;
   std::int64_t deadline_ms_ = 0;
-  double account_share_ = 1;           ///< The account's load over its fair share.
-  std::vector<double> cached_tokens_;  ///< Per engine: prompt tokens its cache may hold.
-  double cache_view_age_ms_ = 0;       ///< Age of that knowledge.
-  std::vector<std::string> avoid_;     ///< Engines that failed this call.
-  std::uint64_t seed_ = 0;             ///< For ties.
+  double account_share_ = 1;           ///< Ratio of the account's load to its fair share.
+  std::vector<double> cached_tokens_;  ///< Per engine: estimated number of prompt tokens in its cache.
+  double cache_view_age_ms_ = 0;       ///< Age of the cache estimate.
+  std::vector<std::string> avoid_;     ///< Engines to exclude because they failed this call.
+  std::uint64_t seed_ = 0;             ///< Breaks ties between engines.
 };
 
-/// One engine a decision weighed.
+/// An engine considered by a decision, with its estimated costs.
 struct candidate {
   std::size_t engine_ = 0;
   double cost_ = 0;
@@ -52,17 +52,17 @@
   double waste_ms_ = 0;
 };
 
-/// What a policy decides.
+/// Result of a policy.
 struct decision {
   std::size_t engine_ = 0;
-  int priority_ = 0;  ///< Lower runs first.
+  int priority_ = 0;  ///< Lower values are scheduled first.
   std::vector<candidate> candidates_;
 };
 
-/// True when the call may run on the engine at all.
+/// Returns true if the engine is usable, not a spare, not excluded and serves the call's model.
 [[nodiscard]] auto eligible(const engine_view& engine, const call_view& call) -> bool;
 
-/// Streams and waiting calls by the report, corrected by what this owner knows better.
+/// Returns the reported load corrected by the calls that this daemon sent and saw finish since the report.
 [[nodiscard]] auto corrected_load(const engine_view& engine) -> double;
 
 }  // namespace birchlever
--- a/birchlever/policy/program_aware_policy.cpp
+++ b/birchlever/policy/program_aware_policy.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr auto ms_per_second = 1000.0;
-constexpr auto expected_answer_share = 0.5;  // Answers take about half of what they may.
+constexpr auto expected_answer_share = 0.5;  // Expected output length as a fraction of max_tokens.
 constexpr auto urgent_ms = 5000;
 constexpr auto hot_account_step = 1.0;
 
@@ -97,7 +97,8 @@
     }
   }
   if (best == nullptr) {
-    return error{error_code::no_upstream, "no engine can take this call now", ran_state::not_run, 1000};
+    return error{error_code::no_upstream, "no eligible engine is available for this call", ran_state::not_run,
+                 1000};
   }
   made.engine_ = best->engine_;
   made.priority_ = priority_of(call);
--- a/birchlever/policy/program_aware_policy.h
+++ b/birchlever/policy/program_aware_policy.h
@@ -1,13 +1,15 @@
-/// The product's own policy: the engine on which the whole program gets on soonest, cache waste counted in.
+/// Policy that minimises the estimated completion time of a program, including the cost of wasted cache
+/// space.
 #pragma once
 
 #include "birchlever/policy/policy_interface.h"
 
 namespace birchlever {
 
-/// Estimates in milliseconds, per engine, the wait for a place, the compute of what its cache lacks, the
-/// decode at its load, the way between data halls, and the price of waste. Old views lose weight smoothly:
-/// load falls back to what this owner sent itself, cache to where the program's last answer came from.
+/// The cost of an engine, in milliseconds, is the sum of the queueing delay, the prefill of uncached prompt
+/// tokens, the decode time at the current load, the latency between data halls, and a penalty for duplicating
+/// or evicting cached prefixes. The weight of a load report decays with its age in favour of the mean load;
+/// calls sent since the report count in full.
 class program_aware_policy final : public policy_interface {
  public:
   explicit program_aware_policy(const policy_settings& settings);
--- a/birchlever/upstream/cold_start_pace.cpp
+++ b/birchlever/upstream/cold_start_pace.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr auto ms_per_second = 1000.0;
-// Two neighbouring periods may both be used within one second, so that half of the rate makes the whole.
+// Two consecutive periods may both be used within one second, so the daemon uses half of its rate.
 constexpr auto used_share = 0.5;
 constexpr auto open_ms = 1000.0;
 
--- a/birchlever/upstream/cold_start_pace.h
+++ b/birchlever/upstream/cold_start_pace.h
@@ -1,10 +1,9 @@
-/// How often one daemon may send to an upstream that has just started and bears few requests a second from
-/// all daemons together.
+/// Rate limit for requests to an upstream that has just started, shared by all daemons without communication.
 ///
-/// Each daemon has turns of its own in time: in a period that is as long as all daemons together need at the
-/// allowed rate, one request, within a second of the period's start. Periods begin at a different moment for
-/// each daemon and upstream. So the sum over all daemons keeps to the rate without any message, in any cut of
-/// the network, and what was not used does not add up to a burst.
+/// Time is divided into periods long enough for every daemon to send one request at the allowed rate. A
+/// daemon may send one request per period, within a window at the period's start. Phases differ between
+/// daemons and upstreams. The total rate holds during network partitions, and unused windows do not
+/// accumulate.
 #pragma once
 
 #include <cstdint>
@@ -13,20 +12,20 @@
 
 namespace birchlever {
 
-/// What all daemons may send to a cold upstream.
+/// Rate limit of a cold upstream.
 struct cold_start_limit {
-  double per_s_ = 0;          ///< Requests a second of all daemons together; 0: no bound.
-  std::int64_t daemons_ = 1;  ///< That share it.
-  milliseconds lasts_ = 0;    ///< How long an upstream is cold after a start.
+  double per_s_ = 0;          ///< Requests per second from all daemons; 0 for no limit.
+  std::int64_t daemons_ = 1;  ///< Number of daemons sharing the limit.
+  milliseconds lasts_ = 0;    ///< Time in ms for which an upstream is cold after a start.
 };
 
-/// A place in the row of periods: a request may be sent while `open_`, one for each number.
+/// State of the current period: one request per `number_` may be sent, while `open_` is set.
 struct cold_start_turn {
   bool open_ = false;
   std::int64_t number_ = 0;
 };
 
-/// The turn of a daemon at a moment. `phase`, 0 to 1, differs between daemons and upstreams.
+/// Returns the state of the period at a time. `phase`, 0 to 1, differs between daemons and upstreams.
 [[nodiscard]] auto cold_start_turn_at(const cold_start_limit& limit, double phase, milliseconds now)
     -> cold_start_turn;
 
--- a/birchlever/upstream/common_parts.cpp
+++ b/birchlever/upstream/common_parts.cpp
@@ -5,11 +5,11 @@
 namespace birchlever {
 namespace {
 
-constexpr auto fade_ms = 5000.0;  // Time constant: an engine's memory is read full in some seconds.
+constexpr auto fade_ms = 5000.0;  // Decay time constant.
 constexpr auto ms_per_second = 1000.0;
-constexpr auto most_parts = std::size_t{1024};  // Few parts are shared; the others fade and are dropped.
-constexpr auto rare_per_s = 0.05;               // Of one program, some seconds ago.
-constexpr auto least_probability = 0.5;         // What is held by chance only is not counted on.
+constexpr auto most_parts = std::size_t{1024};  // Size above which rarely used parts are removed.
+constexpr auto rare_per_s = 0.05;               // Rate below which a part counts as rarely used.
+constexpr auto least_probability = 0.5;         // Less likely parts are assumed not to be cached.
 
 }  // namespace
 
@@ -28,7 +28,8 @@
   for (const auto& part : parts) {
     auto& use = uses_[part.id_];
     if (use.last_program_ != program) {
-      use.programs_.add(use.last_program_.empty() ? 0 : 1, now);  // One program alone shares nothing.
+      use.programs_.add(use.last_program_.empty() ? 0 : 1,
+                        now);  // The first program does not share the part yet.
       use.last_program_ = program;
     }
   }
--- a/birchlever/upstream/common_parts.h
+++ b/birchlever/upstream/common_parts.h
@@ -1,14 +1,9 @@
-/// How much of a prompt any engine of a service probably holds, because many programs share its leading
-/// parts.
+/// Estimates how much of a prompt every engine of a service has cached because programs share its prefix.
 ///
-/// A daemon knows of its own requests only. Of hundreds each sends a few a second, so of a part that every
-/// third program shares it knows one or two engines that hold it, while all do; it then sent everything
-/// there, queues or not. An engine keeps what was used last: it holds a part if one of the requests that read
-/// its memory full carried it. That is a matter of how often the part comes for each token that is read, and
-/// a daemon's own requests show that as well as all others' do.
-///
-/// In the fleet model's overload (three times the programs for four seconds) programs keep 0.975 of their
-/// worth instead of 0.945, and the busiest engine gets 1.36 times the mean instead of 1.40.
+/// A daemon observes only its own requests and would otherwise concentrate shared prefixes on the few engines
+/// that it sent them to. Engines evict least recently used prefixes, so the probability that a part is cached
+/// follows from its frequency relative to the tokens processed, which a daemon can estimate from its own
+/// traffic.
 #pragma once
 
 #include <cstdint>
@@ -21,19 +16,20 @@
 
 namespace birchlever {
 
-/// Of one service. Not thread safe.
+/// Shared prefixes of one service. Not thread-safe.
 class common_parts {
  public:
-  /// A request of a program was sent, of which an engine had to read so many tokens.
+  /// Records a request of a program. `read_tokens` is the number of prompt tokens not cached by the engine.
   auto note(const std::string& program, const std::vector<prompt_part>& parts, std::int64_t read_tokens,
             milliseconds now) -> void;
 
-  /// Leading tokens of a prompt that any engine holds, as expected from its room in tokens.
+  /// Returns the expected number of leading prompt tokens cached by an arbitrary engine with the given cache
+  /// capacity in tokens.
   [[nodiscard]] auto expected_tokens(const std::vector<prompt_part>& parts, std::int64_t room,
                                      milliseconds now) const -> std::int64_t;
 
  private:
-  /// A quantity a second that fades.
+  /// Exponentially decaying rate.
   struct fading_rate {
     double per_s_ = 0;
     milliseconds at_ = 0;
@@ -43,7 +39,7 @@
   };
 
   struct part_use {
-    fading_rate programs_;  ///< Programs that carry it; turns of one count once in a row.
+    fading_rate programs_;  ///< Rate of programs using the part; consecutive uses by one program count once.
     std::string last_program_;
   };
 
--- a/birchlever/upstream/hall_regions.cpp
+++ b/birchlever/upstream/hall_regions.cpp
@@ -12,7 +12,8 @@
     auto sign = item.find('=');
     auto named = sign != std::string::npos && sign > 0 && sign + 1 < item.size();
     if (!named || !parsed.regions_.emplace(item.substr(0, sign), item.substr(sign + 1)).second) {
-      return error{error_code::invalid_setting, "no hall with its region, or the hall twice: '" + item + "'"};
+      return error{error_code::invalid_setting,
+                   "expected HALL=REGION with each hall listed once, got '" + item + "'"};
     }
   }
   return parsed;
--- a/birchlever/upstream/hall_regions.h
+++ b/birchlever/upstream/hall_regions.h
@@ -1,4 +1,4 @@
-/// Which region each data hall lies in, as the settings tell.
+/// Mapping of data halls to regions, and region constraints of requests.
 #pragma once
 
 #include <map>
@@ -10,29 +10,29 @@
 
 namespace birchlever {
 
-/// A function of the settings.
+/// Immutable mapping of data halls to regions.
 class hall_regions {
  public:
-  /// Knows no hall: nothing that is bound to regions may be sent anywhere.
+  /// Creates an empty mapping, with which region-constrained requests cannot be served.
   hall_regions() = default;
 
-  /// Reads "hall=region,hall=region". Failures: invalid_setting.
+  /// Parses "hall=region,hall=region". Failures: invalid_setting.
   static auto parse(const std::string& text) -> result<hall_regions>;
 
-  /// The region of a hall; empty when it is not known.
+  /// Returns the region of a hall, or an empty string if it is unknown.
   [[nodiscard]] auto region_of(const std::string& hall) const -> std::string;
 
  private:
   std::map<std::string, std::string> regions_;
 };
 
-/// Regions that a request may be served in. Bounds of a route and of a client account both hold.
+/// Regions that may serve a request: the intersection of all added constraints.
 class region_bounds {
  public:
-  /// Adds a bound; an empty list bounds nothing.
+  /// Adds a constraint. An empty list adds none.
   auto add(const std::vector<std::string>& allowed) -> void;
 
-  /// True when a request may go to a region. One that is not known is outside of every bound.
+  /// Returns true if the region may serve the request. An unknown region violates every constraint.
   [[nodiscard]] auto allow(const std::string& region) const -> bool;
 
  private:
--- a/birchlever/upstream/own_link.h
+++ b/birchlever/upstream/own_link.h
@@ -1,9 +1,5 @@
-/// Whether this daemon's own link explains what it meets at upstreams. A daemon that is cut off fails at
-/// every upstream that it tries; told to peers, its failures would make the whole fleet leave sound
-/// upstreams.
-///
-/// In the fleet model, with a third of 295 daemons cut off, 16.5 % of the sound upstreams were avoided at the
-/// mean over daemons; with this and with evidence of several daemons (upstream_health) 0.001 %.
+/// Detects whether failures are caused by this daemon's own network link rather than by upstreams. Reporting
+/// them to peers would make the fleet avoid healthy upstreams.
 #pragma once
 
 #include <deque>
@@ -14,42 +10,41 @@
 
 namespace birchlever {
 
-/// Times in ms.
+/// Settings of own_link. Times in ms.
 struct own_link_settings {
-  milliseconds proof_ = 600;   ///< An answer of another upstream proves the link for so long: less than the
-                               ///< 700 ms after which a connection that gets no answer is given up.
-  milliseconds moment_ = 100;  ///< Failures within so long have one cause.
-  int most_failing_ =
-      2;  ///< Upstreams that fail at one moment, or one after the other without any answer between:
-          ///< with more, the cause is here. Two meet by chance where many upstreams die.
+  milliseconds proof_ = 600;   ///< Time for which a response proves the link healthy; shorter than the
+                               ///< connection timeout.
+  milliseconds moment_ = 100;  ///< Failures within this window are assumed to have one cause.
+  int most_failing_ = 2;  ///< Upstreams that may fail within the window, or without a response in between,
+                          ///< before the link is considered faulty.
 };
 
-/// What a failure at an upstream says, by the link.
+/// State of the link as seen when a request fails.
 enum class link_verdict {
-  sound,    ///< Another upstream answered a moment ago: the failure is news of the upstream.
-  unsure,   ///< Nothing else was tried of late.
-  at_fault  ///< Several upstreams fail alike.
+  sound,    ///< Another upstream responded recently, so the failed upstream is the cause.
+  unsure,   ///< No recent response of another upstream.
+  at_fault  ///< Several upstreams are failing together.
 };
 
-/// For coroutines of one loop.
+/// Not thread-safe; use from one event loop.
 class own_link {
  public:
   explicit own_link(const own_link_settings& settings = {}) : settings_{settings} {}
 
-  /// An upstream answered a request that was sent at that moment.
+  /// Records a response of an upstream to a request sent at `sent_at`.
   auto note_answer(const std::string& upstream, milliseconds sent_at, milliseconds now) -> void;
 
-  /// A request failed there.
+  /// Records a failed request.
   auto note_failure(const std::string& upstream, milliseconds now) -> void;
 
-  /// What the failure, noted before, of a request sent to that upstream at that moment says now.
+  /// Returns the link's state for a request sent to the upstream at `sent_at`. Record its failure first.
   [[nodiscard]] auto verdict_on(const std::string& upstream, milliseconds sent_at, milliseconds now) const
       -> link_verdict;
 
-  /// Upstreams that failed since the last answer of any.
+  /// Upstreams that failed since the last response from any upstream.
   [[nodiscard]] auto failed_unanswered() const -> const std::set<std::string>& { return failed_unanswered_; }
 
-  /// Requests sent before may have waited for the link, not for their upstream.
+  /// Time at which the link recovered; earlier requests may have been delayed by the link.
   [[nodiscard]] auto sound_since() const -> milliseconds { return sound_since_; }
 
  private:
@@ -62,8 +57,8 @@
 
   own_link_settings settings_;
   event last_answer_;
-  event answer_before_;         ///< Of another upstream than the last one.
-  std::deque<event> failures_;  ///< Of the last moment.
+  event answer_before_;         ///< Latest response of a different upstream.
+  std::deque<event> failures_;  ///< Failures within the window.
   std::set<std::string> failed_unanswered_;
   milliseconds sound_since_ = 0;
 };
--- a/birchlever/upstream/prompt_cache.cpp
+++ b/birchlever/upstream/prompt_cache.cpp
@@ -3,8 +3,7 @@
 namespace birchlever {
 namespace {
 
-constexpr auto most_parts =
-    std::size_t{4096};  // Bounds the memory of a view; an engine holds fewer sessions.
+constexpr auto most_parts = std::size_t{4096};  // Limits the memory used per engine.
 
 }  // namespace
 
--- a/birchlever/upstream/prompt_cache.h
+++ b/birchlever/upstream/prompt_cache.h
@@ -1,4 +1,4 @@
-/// What an engine's prompt cache probably holds, as far as this daemon's own traffic tells.
+/// Estimate of the contents of an engine's prompt cache, based on this daemon's own requests.
 #pragma once
 
 #include <cstdint>
@@ -8,32 +8,32 @@
 
 namespace birchlever {
 
-/// A part of a prompt that may be shared between requests.
+/// Part of a prompt that requests may share.
 struct prompt_part {
   std::uint64_t id_ = 0;
   std::int64_t tokens_ = 0;
 };
 
-/// Least recently used parts leave first, as in the engine itself.
+/// LRU model of the engine's cache.
 class prompt_cache {
  public:
-  /// Room of the engine, in tokens; at least what a forgetful view needs is kept.
+  /// Sets the capacity in tokens. Takes effect with the next used().
   auto set_room(std::int64_t tokens) -> void { room_ = tokens; }
 
-  /// A request with these parts ran there.
+  /// Records that the engine processed a prompt with these parts.
   auto used(const std::vector<prompt_part>& parts) -> void;
 
-  /// Tokens of the leading parts that are held: a part counts only behind those before it.
+  /// Returns the tokens of the longest cached prefix.
   [[nodiscard]] auto held(const std::vector<prompt_part>& parts) const -> std::int64_t;
 
-  /// All tokens held.
+  /// Total number of cached tokens.
   [[nodiscard]] auto tokens() const -> std::int64_t { return tokens_; }
 
-  /// Forgets everything: the engine was started anew.
+  /// Removes all entries, as after a restart of the engine.
   auto clear() -> void;
 
  private:
-  std::list<prompt_part> by_age_;  ///< Newest first.
+  std::list<prompt_part> by_age_;  ///< Most recently used first.
   std::unordered_map<std::uint64_t, std::list<prompt_part>::iterator> known_;
   std::int64_t tokens_ = 0;
   std::int64_t room_ = 0;
--- a/birchlever/upstream/upstream.h
+++ b/birchlever/upstream/upstream.h
@@ -1,4 +1,4 @@
-/// An upstream and what this daemon knows of it.
+/// State of an upstream as known to this daemon.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 namespace birchlever {
 
-/// One start of one server. Another start under the same id is another upstream.
+/// One incarnation of a server. A restart under the same id creates a new upstream.
 class upstream : public std::enable_shared_from_this<upstream> {
  public:
   explicit upstream(upstream_entry entry, upstream_health health = upstream_health{}, double phase = 0)
@@ -23,15 +23,15 @@
   [[nodiscard]] auto running() const -> int { return running_; }
   [[nodiscard]] auto health() const -> const upstream_health& { return health_; }
 
-  /// False from the moment it was told to leave, its entry is gone, or its hall was closed.
+  /// Returns false if it is leaving, is no longer listed, or its data hall is closed.
   [[nodiscard]] auto takes_requests() const -> bool { return listed_ && !entry_.leaving_ && !hall_closed_; }
 
-  /// True while it may bear few requests only.
+  /// Returns true while the cold start limit applies.
   [[nodiscard]] auto cold(const cold_start_limit& limit, milliseconds now) const -> bool {
     return limit.per_s_ > 0 && (now < cold_until_ || now < hall_opened_at_ + limit.lasts_);
   }
 
-  /// True when this daemon may send a request there now, as far as its start matters.
+  /// Returns true if the cold start limit permits a request of this daemon now.
   [[nodiscard]] auto has_turn(const cold_start_limit& limit, milliseconds now) const -> bool {
     if (!cold(limit, now)) {
       return true;
@@ -40,8 +40,8 @@
     return turn.open_ && turn.number_ != used_turn_;
   }
 
-  /// Calls back once when another start takes its place: whoever waits for an answer waits in vain. Yields
-  /// a number to forget the callback by.
+  /// Registers a callback invoked once when a new incarnation replaces this one, after which no response can
+  /// arrive. Returns a handle for removing the callback.
   auto on_replaced(std::function<void()> callback) -> int {
     replaced_[++watches_] = std::move(callback);
     return watches_;
@@ -57,18 +57,18 @@
   std::string region_;
   bool listed_ = true;
   bool hall_closed_ = false;
-  milliseconds hall_opened_at_ = -1'000'000;  ///< A long time ago.
+  milliseconds hall_opened_at_ = -1'000'000;  ///< Initially far in the past.
   milliseconds cold_until_ = 0;
-  int running_ = 0;               ///< Requests of this daemon there now.
-  double running_elsewhere_ = 0;  ///< Requests of other daemons, as they last said.
+  int running_ = 0;               ///< Requests of this daemon in flight.
+  double running_elsewhere_ = 0;  ///< Requests of other daemons, from their last reports.
   upstream_health health_;
-  double phase_;                 ///< 0 to 1, differs between daemons and upstreams.
-  std::int64_t used_turn_ = -1;  ///< Number of the last turn in which a request went to it while cold.
+  double phase_;                 ///< Phase of the cold start periods, 0 to 1.
+  std::int64_t used_turn_ = -1;  ///< Last cold start period in which a request was sent.
   milliseconds full_until_ = 0;
   prompt_cache cache_;
-  std::size_t place_ = 0;          ///< In its pool.
-  std::size_t place_in_hall_ = 0;  ///< Likewise among those of its hall.
-  std::uint64_t sampled_ = 0;      ///< Number of the last sample that it was put into.
+  std::size_t place_ = 0;          ///< Index in its pool.
+  std::size_t place_in_hall_ = 0;  ///< Index among the upstreams of its data hall.
+  std::uint64_t sampled_ = 0;      ///< Number of the last sample that contains it.
   std::map<int, std::function<void()>> replaced_;
   int watches_ = 0;
 };
--- a/birchlever/upstream/upstream_choice.cpp
+++ b/birchlever/upstream/upstream_choice.cpp
@@ -1,5 +1,4 @@
-/// The half of upstream_directory that chooses: which upstreams may take a request, and what each probably
-/// holds of its prompt.
+/// Part of upstream_directory that selects an upstream for a request.
 #include <algorithm>
 #include <initializer_list>
 
@@ -46,7 +45,7 @@
         sort_in(one);
       }
     }
-    if (found.usable_.empty()) {  // A sample that met none says nothing of the others.
+    if (found.usable_.empty()) {  // The sample contained no healthy upstream; fall back to all.
       avoided.clear();
       for (const auto& one : pool.all()) {
         sort_in(one);
@@ -69,7 +68,7 @@
 
 auto upstream_directory::view_of(const upstream& one, const upstream_wish& wish) const -> engine_view {
   auto view = engine_view{};
-  view.data_hall_ = one.entry_.data_hall_;  // Neither id nor models: those that do not fit were left out.
+  view.data_hall_ = one.entry_.data_hall_;  // Id and models are left empty: candidates are already filtered.
   view.capacity_ = static_cast<double>(std::max<std::int64_t>(one.entry_.slots_, 1));
   view.running_ = one.running_ + one.running_elsewhere_;
   view.connected_ = connected_ && connected_(one.entry_.address_);
@@ -118,7 +117,8 @@
   }
   auto own = wish.parts_.back().tokens_;
   if (one == home) {
-    // Where other daemons sent this program's turns; a first turn goes there unless others are much freer.
+    // Other daemons send this program's turns here, so assume the prefix is cached. The bonus of half the
+    // last part makes first turns prefer this upstream unless others are much less loaded.
     held = std::max(held, wish.prompt_tokens_ - own) + own / 2;
   }
   if (one == last) {
@@ -136,7 +136,7 @@
     fitting.resize(found.sound_);
   }
   if (fitting.empty()) {
-    return error{error_code::no_upstream, "no upstream of the service takes this request now",
+    return error{error_code::no_upstream, "no upstream of the service is available for this request",
                  ran_state::not_run, retry_later_ms};
   }
   auto call = call_view{};
--- a/birchlever/upstream/upstream_directory.cpp
+++ b/birchlever/upstream/upstream_directory.cpp
@@ -20,10 +20,10 @@
   if (!known) {
     insert(std::move(entry), announced);
   } else if (entry.born_ < known->entry_.born_) {
-    log_event(log_level::info, "upstream_entry_late",
+    log_event(log_level::info, "upstream_entry_outdated",
               {{"upstream", entry.id_}, {"born", entry.born_}, {"known", known->entry_.born_}});
   } else if (entry.born_ > known->entry_.born_ && known->entry_.born_ != 0) {
-    log_event(log_level::info, "upstream_started_again",
+    log_event(log_level::info, "upstream_restarted",
               {{"upstream", entry.id_}, {"born", entry.born_}, {"before", known->entry_.born_}});
     drop(known);
     insert(std::move(entry), announced);
@@ -86,7 +86,7 @@
   if (!known) {
     return;
   }
-  log_event(log_level::info, "upstream_gone", {{"upstream", id}});
+  log_event(log_level::info, "upstream_removed", {{"upstream", id}});
   drop(known);
 }
 
@@ -95,7 +95,7 @@
   for (const auto& [id, one] : upstreams_) {
     auto closed = closed_halls_.count(one->entry_.data_hall_) != 0;
     if (std::exchange(one->hall_closed_, closed) && !closed) {
-      one->hall_opened_at_ = settings_.clock_->now();  // It may have been started anew meanwhile.
+      one->hall_opened_at_ = settings_.clock_->now();  // It may have restarted while the hall was closed.
     }
   }
 }
@@ -138,7 +138,7 @@
   auto now = settings_.clock_->now();
   link_.note_answer(one.entry_.id_, began, now);
   if (std::exchange(link_blamed_, false)) {
-    log_event(log_level::info, "link_answers_again", {{"upstream", one.entry_.id_}});
+    log_event(log_level::info, "link_recovered", {{"upstream", one.entry_.id_}});
   }
   one.health_.note_answered(began, now);
 }
@@ -173,7 +173,7 @@
   auto suspected = one.health_.suspected(now);
   auto was_avoided = one.health_.note_success();
   if (was_avoided) {
-    log_event(log_level::info, "upstream_serves_again", {{"upstream", one.entry_.id_}});
+    log_event(log_level::info, "upstream_recovered", {{"upstream", one.entry_.id_}});
   }
   if (was_avoided || suspected) {
     tell(one, false);
@@ -190,14 +190,14 @@
     log_avoided(one, "failures", now);
   }
   if (link == link_verdict::sound) {
-    tell(one, true);  // What the own link explains is no news of the upstream.
+    tell(one, true);  // Failures caused by the local link are not reported.
   }
 }
 
 auto upstream_directory::forgive_unanswered() -> void {
   auto failing = static_cast<std::int64_t>(link_.failed_unanswered().size());
   if (!std::exchange(link_blamed_, true)) {
-    log_event(log_level::warning, "link_at_fault", {{"upstreams_failing", failing}});
+    log_event(log_level::warning, "link_faulty", {{"upstreams_failing", failing}});
   }
   for (const auto& id : link_.failed_unanswered()) {
     if (auto blamed = find(id)) {
@@ -209,7 +209,7 @@
 auto upstream_directory::hear(const std::string& peer, const upstream_news& news) -> void {
   auto one = find(news.id_);
   if (!one || one->entry_.born_ != news.born_) {
-    return;  // What another start of it did is no evidence on this one.
+    return;  // Reports about another incarnation do not apply.
   }
   auto now = settings_.clock_->now();
   if (!news.failed_) {
@@ -221,7 +221,7 @@
 
 auto upstream_directory::find_stalled() -> void {
   auto now = settings_.clock_->now();
-  for (const auto& one : busy_) {  // Of the others nothing is awaited.
+  for (const auto& one : busy_) {  // Only upstreams with requests in flight can stall.
     auto silent = link_.verdict_on(one->entry_.id_, now, now) == link_verdict::sound &&
                   one->health_.note_stall(now, link_.sound_since());
     if (silent) {
--- a/birchlever/upstream/upstream_directory.h
+++ b/birchlever/upstream/upstream_directory.h
@@ -1,4 +1,4 @@
-/// The upstreams as the platform's list and this daemon's own traffic show them, and the choice among them.
+/// Directory of the upstreams known to this daemon, and selection of one for each request.
 #pragma once
 
 #include <functional>
@@ -18,120 +18,119 @@
 
 namespace birchlever {
 
-/// What one request tells of an upstream.
+/// Outcome of a request as far as it concerns the upstream's health.
 enum class upstream_evidence { served, full, failed, none };
 
-/// What a request wants of an upstream.
+/// Requirements of a request on its upstream.
 struct upstream_wish {
   std::string service_;
   std::string model_;
   std::int64_t prompt_tokens_ = 0;
   std::int64_t most_tokens_ = 0;
   std::vector<prompt_part> parts_;
-  std::string program_;        ///< Whose prompt it is; empty outside programs.
-  std::string last_upstream_;  ///< The incarnation that ran the previous turn; empty when there was none.
-  std::string home_subject_;  ///< Requests of one subject prefer the same upstream, through any daemon; empty
-                              ///< when it is known where the previous turn ran.
-  int most_here_ = 0;  ///< Requests of this daemon after which an upstream counts as full; 0: no bound.
-  std::int64_t cache_room_ = 0;     ///< Tokens an engine of the service holds; 0 for plain services.
-  std::set<std::string> excluded_;  ///< Upstreams that refused or failed this request.
-  region_bounds regions_;           ///< Where it may be served.
-  cold_start_limit cold_start_;     ///< What an upstream of the service bears after its start.
+  std::string program_;        ///< Program of the request; empty if it belongs to none.
+  std::string last_upstream_;  ///< Incarnation that ran the previous turn; empty if there is none.
+  std::string home_subject_;   ///< Requests with equal keys prefer the same upstream on all daemons; empty if
+                               ///< the upstream of the previous turn is known.
+  int most_here_ = 0;  ///< Requests of this daemon at which an upstream counts as full; 0 for no limit.
+  std::int64_t cache_room_ = 0;  ///< Cache capacity of the service's engines in tokens; 0 if they have none.
+  std::set<std::string> excluded_;  ///< Ids of upstreams that refused or failed this request.
+  region_bounds regions_;           ///< Regions that may serve the request.
+  cold_start_limit cold_start_;     ///< Limit for recently started upstreams.
   std::uint64_t seed_ = 0;
 };
 
-/// A choice with what it rests on, for the log.
+/// A selected upstream, with details for logging.
 struct upstream_choice {
   upstream_pointer chosen_;
   std::size_t candidates_ = 0;
   std::int64_t held_tokens_ = 0;
 };
 
-/// How evidence is weighed.
+/// Settings of upstream_directory.
 struct upstream_directory_settings {
-  std::string data_hall_;          ///< Where this daemon stands.
+  std::string data_hall_;          ///< Data hall of this daemon.
   std::uint64_t jitter_seed_ = 0;  ///< Differs between daemons.
   hall_regions regions_;
   upstream_health_settings health_;
   upstream_pool_settings pools_;
-  double least_kept_share_ = 0.25;  ///< With fewer left than this share of a service, those avoided are used
-                                    ///< too: the load of all must not fall on a few.
-  milliseconds full_memory_ = 60;   ///< ms for which an upstream that refused as full counts as full.
+  double least_kept_share_ = 0.25;  ///< If fewer than this fraction of the candidates are healthy, avoided
+                                    ///< ones are used too, to prevent overload of the remaining ones.
+  milliseconds full_memory_ =
+      60;  ///< Time in ms for which an upstream counts as full after it refused a request.
   std::shared_ptr<const clock_interface> clock_ = std::make_shared<steady_clock>();
 };
 
-/// What this daemon learned of an upstream, for its peers.
+/// Change of an upstream's health, exchanged between daemons.
 struct upstream_news {
   std::string id_;
-  bool failed_ = false;    ///< Else it serves again.
-  std::int64_t born_ = 0;  ///< Which start of it.
+  bool failed_ = false;    ///< False if it serves requests again.
+  std::int64_t born_ = 0;  ///< Start time that identifies its incarnation.
 };
 
-/// For coroutines of one loop.
+/// Not thread-safe; use from one event loop.
 class upstream_directory {
  public:
   explicit upstream_directory(upstream_directory_settings settings);
 
-  /// Adds or changes an upstream. An entry of an earlier start than is known changes nothing; one of a later
-  /// start is another upstream, and nothing that is known of the former holds for it.
-  /// `announced`: a new one gets a line in the log; not so while a whole list of thousands is read.
+  /// Adds or updates an upstream. Entries of an earlier incarnation are ignored; a later incarnation replaces
+  /// the upstream and discards its state. `announced` controls whether an added upstream is logged; disable
+  /// it when loading a full list.
   auto put(upstream_entry entry, bool announced = true) -> void;
 
-  /// The upstream has left the list.
+  /// Removes an upstream that is no longer listed.
   auto remove(const std::string& id) -> void;
 
-  /// Upstreams of these data halls get no request from now on, those of all others do.
+  /// Sets the closed data halls, whose upstreams get no requests. Replaces the previous set.
   auto close_halls(std::set<std::string> halls) -> void;
 
-  /// Upstreams that are listed.
   [[nodiscard]] auto size() const -> std::size_t { return upstreams_.size(); }
 
-  /// All listed ids.
   [[nodiscard]] auto ids() const -> std::vector<std::string>;
 
-  /// The upstream of an id, or none.
+  /// Returns the upstream with an id, or null.
   [[nodiscard]] auto find(const std::string& id) const -> upstream_pointer;
 
-  /// Chooses by the policy. Failures: no_upstream.
+  /// Selects an upstream with the policy. Failures: no_upstream.
   auto choose(const policy_interface& policy, const upstream_wish& wish) -> result<upstream_choice>;
 
-  /// Called with what peers should know at once.
+  /// Sets the callback for health changes that peers should be notified of.
   using news_function = std::function<void(const upstream_news&)>;
   auto on_news(news_function callback) -> void { on_news_ = std::move(callback); }
 
-  /// Tells whether a kept connection to an address is free.
+  /// Sets the function that checks whether an idle pooled connection to an address is available.
   using connected_function = std::function<bool(const boost::asio::ip::tcp::endpoint&)>;
   auto on_connected(connected_function callback) -> void { connected_ = std::move(callback); }
 
-  /// Takes in what a peer learned.
+  /// Applies a health report of a peer.
   auto hear(const std::string& peer, const upstream_news& news) -> void;
 
-  /// Looks for upstreams that hang. Call some times a second.
+  /// Detects upstreams that have stopped responding. Call several times per second.
   auto find_stalled() -> void;
 
-  /// A request is sent there. Yields the moment, which names it below.
+  /// Records that a request is sent. Returns the send time, which identifies the request in later calls.
   auto begin(upstream& one, const upstream_wish& wish) -> milliseconds;
 
-  /// The answer to a request that began then has begun.
+  /// Records that the response to the request sent at `began` has started.
   auto answered(upstream& one, milliseconds began) -> void;
 
-  /// The request that began then has ended.
+  /// Records the outcome of the request sent at `began`.
   auto end(upstream& one, milliseconds began, upstream_evidence evidence) -> void;
 
-  /// Requests that other daemons have running there, as they say.
+  /// Sets the number of requests that other daemons report in flight at an upstream.
   auto set_running_elsewhere(const std::string& id, double running) -> void;
 
-  /// Likewise for all upstreams at once; those not named have none.
+  /// Sets the numbers for all upstreams; those not contained have none.
   auto set_running_elsewhere(const std::unordered_map<std::string, double>& running) -> void;
 
-  /// Calls back for each listed upstream.
+  /// Calls `visit` for each listed upstream.
   auto each(const std::function<void(const upstream&)>& visit) const -> void;
 
-  /// Calls back for each upstream at which requests of this daemon run, listed or not.
+  /// Calls `visit` for each upstream with requests of this daemon in flight, listed or not.
   auto each_busy(const std::function<void(const upstream&)>& visit) const -> void;
 
  private:
-  /// Upstreams to choose among, and how many of them are not avoided now: those come first.
+  /// Candidates for a request. The first `sound_` of them are not avoided.
   struct candidate_list {
     std::vector<upstream_pointer> usable_;
     std::size_t sound_ = 0;
@@ -145,11 +144,11 @@
   auto usable(const upstream& one, const upstream_wish& wish, milliseconds now) const -> bool;
   auto held_tokens(const upstream_pointer& one, const upstream_wish& wish, std::int64_t common,
                    const upstream_pointer& home, const upstream_pointer& last) const -> std::int64_t;
-  /// Prompt tokens that any engine of the service probably holds.
+  /// Returns the expected number of prompt tokens cached by every engine of the service.
   [[nodiscard]] auto common_tokens(const upstream_wish& wish) const -> std::int64_t;
-  /// The upstream with the highest rendezvous weight for the wish's subject among its neighbours, or none.
+  /// Returns the usable upstream with the highest rendezvous weight for the affinity key, or null.
   auto home_of(const upstream_wish& wish, const upstream_pool& pool) const -> upstream_pointer;
-  /// The upstream that ran the previous turn, if that start of it still takes requests; else none.
+  /// Returns the upstream that ran the previous turn if the same incarnation is still listed; else null.
   auto last_of(const upstream_wish& wish) const -> upstream_pointer;
   auto view_of(const upstream& one, const upstream_wish& wish) const -> engine_view;
   auto tell(const upstream& one, bool failed) -> void;
@@ -161,12 +160,12 @@
 
   upstream_directory_settings settings_;
   own_link link_;
-  bool link_blamed_ = false;  ///< Failures are put down to the link, until an upstream answers.
-  std::map<std::string, common_parts> common_;                   ///< By service.
+  bool link_blamed_ = false;                    ///< The link is considered faulty until an upstream responds.
+  std::map<std::string, common_parts> common_;  ///< By service.
   std::unordered_map<std::string, upstream_pointer> upstreams_;  ///< By id.
   std::map<std::string, upstream_pool> pools_;                   ///< By service.
-  std::vector<upstream_pointer> busy_;                           ///< Where requests of this daemon run.
-  std::vector<upstream_pointer> busy_elsewhere_;                 ///< Where requests of others run.
+  std::vector<upstream_pointer> busy_;                           ///< With requests of this daemon in flight.
+  std::vector<upstream_pointer> busy_elsewhere_;  ///< With requests of other daemons in flight.
   std::set<std::string> closed_halls_;
   news_function on_news_;
   connected_function connected_;
--- a/birchlever/upstream/upstream_entry.cpp
+++ b/birchlever/upstream/upstream_entry.cpp
@@ -5,7 +5,7 @@
 namespace birchlever {
 namespace {
 
-constexpr auto start_mark = '@';  // Between an id and the moment of its start.
+constexpr auto start_mark = '@';  // Separates the id from the start time.
 
 }  // namespace
 
--- a/birchlever/upstream/upstream_entry.h
+++ b/birchlever/upstream/upstream_entry.h
@@ -1,4 +1,4 @@
-/// One upstream as its own entry in the platform's list describes it.
+/// Entry of an upstream in the platform's list.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -11,26 +11,26 @@
 
 namespace birchlever {
 
-/// An entry. A server that starts again may keep its id; it then has a later `born_` and nothing of before.
+/// Describes one incarnation of a server. A restarted server may keep its id; its `born_` is then later.
 struct upstream_entry {
   std::string id_;
   std::string service_;
   boost::asio::ip::tcp::endpoint address_;
   std::string data_hall_;
-  std::int64_t slots_ = 1;      ///< Requests that run at once.
-  bool leaving_ = false;        ///< Takes no new request.
-  std::int64_t born_ = 0;       ///< Unix ms of its start; 0 where starts are told apart by ids alone.
-  milliseconds cold_left_ = 0;  ///< ms for which it bears few requests, from the moment it was written.
+  std::int64_t slots_ = 1;      ///< Maximum number of concurrent requests.
+  bool leaving_ = false;        ///< Accepts no new requests.
+  std::int64_t born_ = 0;       ///< Start time, Unix ms; 0 if each start has its own id.
+  milliseconds cold_left_ = 0;  ///< Remaining cold start time in ms when the entry was written.
   std::vector<std::string> models_;
 };
 
-/// All of an entry that decisions rest on, as a text: entries with the same text are alike.
+/// Returns a text of all fields relevant to decisions. Entries with equal texts are interchangeable.
 [[nodiscard]] auto meaning_of(const upstream_entry& entry) -> std::string;
 
-/// Names one start of a server: "id", or "id@born" where starts are told.
+/// Returns the identifier of an incarnation: "id@born", or "id" if `born_` is 0.
 [[nodiscard]] auto incarnation_of(const upstream_entry& entry) -> std::string;
 
-/// The id within such a name.
+/// Returns the server id contained in an incarnation identifier.
 [[nodiscard]] auto id_of_incarnation(std::string_view incarnation) -> std::string;
 
 }  // namespace birchlever
--- a/birchlever/upstream/upstream_exchange.cpp
+++ b/birchlever/upstream/upstream_exchange.cpp
@@ -62,11 +62,11 @@
   auto not_sent = !lost && (outcome.error() == httplib::Error::Connection ||
                             outcome.error() == httplib::Error::ConnectionTimeout);
   auto name = request.target_.text();
-  finish(not_sent
-             ? std::make_unique<error>(
-                   error{error_code::upstream_refused, "no connection to " + name, ran_state::not_run})
-             : std::make_unique<error>(error{error_code::upstream_failed, "answer of " + name + " broke off",
-                                             ran_state::outcome_unknown}));
+  finish(not_sent ? std::make_unique<error>(
+                        error{error_code::upstream_refused, "no connection to " + name, ran_state::not_run})
+                  : std::make_unique<error>(error{error_code::upstream_failed,
+                                                  "response of " + name + " was interrupted",
+                                                  ran_state::outcome_unknown}));
 }
 
 auto upstream_exchange::on_status(int status, std::string content_type) -> void {
@@ -99,11 +99,12 @@
   auto known = changed_.wait_for(lock, std::chrono::milliseconds{patience},
                                  [this] { return status_ != 0 || finished_; });
   if (!known) {
-    return error{error_code::upstream_timeout, "the upstream gave no answer in time",
-                 ran_state::outcome_unknown};
+    return error{error_code::upstream_timeout, "upstream response timed out", ran_state::outcome_unknown};
   }
   if (status_ == 0) {
-    return fault_ ? *fault_ : error{error_code::upstream_failed, "no answer", ran_state::outcome_unknown};
+    return fault_
+               ? *fault_
+               : error{error_code::upstream_failed, "upstream sent no response", ran_state::outcome_unknown};
   }
   return status_;
 }
@@ -113,7 +114,7 @@
   auto ready = changed_.wait_for(lock, std::chrono::milliseconds{patience},
                                  [this] { return !pieces_.empty() || finished_; });
   if (!ready) {
-    return error{error_code::upstream_timeout, "the upstream fell silent", ran_state::outcome_unknown};
+    return error{error_code::upstream_timeout, "upstream response stalled", ran_state::outcome_unknown};
   }
   if (!pieces_.empty()) {
     auto piece = upstream_piece{std::move(pieces_.front()), false};
--- a/birchlever/upstream/upstream_exchange.h
+++ b/birchlever/upstream/upstream_exchange.h
@@ -1,4 +1,4 @@
-/// One request to an upstream, answered piece by piece.
+/// HTTP exchange with an upstream, with a streamed response.
 #pragma once
 
 #include <condition_variable>
@@ -15,7 +15,7 @@
 
 namespace birchlever {
 
-/// What to send.
+/// Request to an upstream.
 struct upstream_request {
   endpoint target_;
   std::string method_ = "POST";
@@ -25,40 +25,40 @@
   std::map<std::string, std::string> headers_;
 };
 
-/// A piece of an answer, or its end.
+/// Chunk of a response body, or its end.
 struct upstream_piece {
   std::string bytes_;
   bool end_ = false;
 };
 
-/// Runs the request on a thread of its own, since the HTTP library blocks; the reader pulls. The queue
-/// between them is bounded, so a slow caller slows its upstream instead of filling memory.
+/// Runs the blocking HTTP request on its own thread. Chunks pass through a bounded queue, which applies
+/// backpressure to the upstream if the reader is slow.
 class upstream_exchange {
  public:
-  /// Sends the request now.
+  /// Starts sending the request.
   static auto start(std::shared_ptr<http_connection_pool> pool, upstream_request request)
       -> std::unique_ptr<upstream_exchange>;
 
-  /// Cancels what still runs and waits for the thread.
+  /// Cancels the exchange and joins its thread.
   ~upstream_exchange();
 
   upstream_exchange(const upstream_exchange&) = delete;
   auto operator=(const upstream_exchange&) -> upstream_exchange& = delete;
 
-  /// The answer's HTTP status. Failures: upstream_refused (surely not taken in), upstream_timeout and
-  /// upstream_failed (outcome_unknown).
+  /// Waits for the HTTP status. Failures: upstream_refused (request not sent), upstream_timeout and
+  /// upstream_failed (both outcome_unknown).
   auto wait_status(milliseconds patience) -> result<int>;
 
-  /// The next piece. Failures: upstream_timeout, upstream_failed (the stream broke off).
+  /// Waits for the next chunk. Failures: upstream_timeout, upstream_failed (response interrupted).
   auto next(milliseconds patience) -> result<upstream_piece>;
 
-  /// The rest of the answer as one text.
+  /// Returns the remaining response body. Failures: as next().
   auto read_all(milliseconds patience) -> result<std::string>;
 
-  /// The answer's content type; valid after wait_status.
+  /// Content type of the response; valid after wait_status().
   [[nodiscard]] auto content_type() const -> std::string;
 
-  /// Lets go of the upstream; it sees its connection closed.
+  /// Cancels the exchange and closes the connection.
   auto cancel() -> void;
 
  private:
--- a/birchlever/upstream/upstream_health.cpp
+++ b/birchlever/upstream/upstream_health.cpp
@@ -5,7 +5,7 @@
 namespace birchlever {
 namespace {
 
-constexpr auto least_jitter = 0.75;  // An avoidance is drawn out to 75 to 125 % of its length.
+constexpr auto least_jitter = 0.75;  // Avoidance times are scaled by a factor from 0.75 to 1.25.
 constexpr auto jitter_width = 0.5;
 constexpr auto most_doublings = 6;
 
@@ -40,7 +40,7 @@
 
 auto upstream_health::note_failure(milliseconds now, link_verdict link) -> bool {
   if (avoided(now) || link == link_verdict::at_fault) {
-    return false;  // Of a request that was sent before the upstream was avoided, or the link's own failure.
+    return false;  // The request was sent before the avoidance, or the local link failed.
   }
   begin_anew_when_quiet(now);
   return add(settings_.own_weight_, now);
@@ -48,7 +48,7 @@
 
 auto upstream_health::note_peer_failure(const std::string& peer, milliseconds now) -> bool {
   if (avoided(now)) {
-    // Late in an avoidance it is the failure of a peer that tried again: then nobody else needs to.
+    // Late in an avoidance, a peer has probed the upstream and failed: extend the avoidance without a probe.
     if (avoid_until_ - now <= avoidance_ / 2) {
       failed_at_ = now;
       avoid(now);
--- a/birchlever/upstream/upstream_health.h
+++ b/birchlever/upstream/upstream_health.h
@@ -1,11 +1,8 @@
-/// Whether an upstream is to be avoided, judged by what requests met there: a health check may lie either
-/// way.
+/// Passive health tracking of an upstream, based on the outcomes of real requests.
 ///
-/// Evidence is failures in a row, here and at other daemons, weighed by who met them. One request that is
-/// served, anywhere, ends the row. An upstream that loses one answer in twenty is not left for that, however
-/// many daemons there are to tell of it; one that is dead is left by all as soon as a few have tried it.
-/// Avoided means for a while, twice as long with each further failure after that while; then a real request
-/// tries it.
+/// Consecutive failures of this daemon and its peers add up, weighted by their source; any success resets
+/// them, so sporadic failures do not lead to avoidance. An avoided upstream is probed with a real request
+/// after the avoidance time, which doubles with each further failure.
 #pragma once
 
 #include <set>
@@ -17,59 +14,60 @@
 
 namespace birchlever {
 
-/// How evidence is weighed. Times in ms.
+/// Settings of upstream_health. Times in ms.
 struct upstream_health_settings {
-  int weight_until_avoided_ = 3;  ///< Two own failures in a row, an own one and a peer's, or three peers'.
-                                  ///< With hundreds of daemons two failures meet by chance: at 8 requests/s
-                                  ///< and one answer in twenty lost, each 8 s at every upstream.
-  int own_weight_ = 2;            ///< Known at first hand.
-  milliseconds first_avoidance_ = 500;     ///< About two turns: most resets are over by then.
-  milliseconds longest_avoidance_ = 8000;  ///< Upstreams that go down and up are down for a second or two.
-  milliseconds forget_ =
-      1500;  ///< Without a failure for so long, or twice the last avoidance, the row begins anew.
-  milliseconds stall_ = 1500;  ///< Without any answer for so long while requests wait: it hangs. Callers
-                               ///< leave a silent stream after 2 s.
+  int weight_until_avoided_ = 3;           ///< Total weight of failures at which the upstream is avoided.
+  int own_weight_ = 2;                     ///< Weight of a failure of this daemon; a peer's has weight 1.
+  milliseconds first_avoidance_ = 500;     ///< Initial avoidance time.
+  milliseconds longest_avoidance_ = 8000;  ///< Upper limit of the avoidance time.
+  milliseconds forget_ = 1500;  ///< Time without failures that resets the weight, or twice the latest
+                                ///< avoidance if that is longer.
+  milliseconds stall_ = 1500;   ///< Time without responses to pending requests after which the upstream
+                                ///< is stalled; below the stream timeout of callers.
 };
 
-/// For coroutines of one loop.
+/// Not thread-safe; use from one event loop.
 class upstream_health {
  public:
-  /// `jitter`, 0 to 1, differs between daemons, so that they do not all try an upstream again at once.
+  /// `jitter`, 0 to 1, differs between daemons, so that they do not all probe an upstream at the same time.
   explicit upstream_health(const upstream_health_settings& settings = {}, double jitter = 0.5)
       : settings_{settings}, jitter_{jitter} {}
 
-  /// A request of this daemon failed there, while its own link was so; what the link is at fault for does not
-  /// count. True when the upstream becomes avoided by that.
+  /// Records a failed request of this daemon. Ignored if the local link is faulty. Returns true if the
+  /// upstream becomes avoided.
   auto note_failure(milliseconds now, link_verdict link = link_verdict::sound) -> bool;
 
-  /// A peer's request failed there. A peer counts once in a row. True when the upstream becomes avoided by
-  /// that.
+  /// Records a failure reported by a peer. Before the first avoidance each peer counts once. Returns true if
+  /// the upstream becomes avoided.
   auto note_peer_failure(const std::string& peer, milliseconds now) -> bool;
 
-  /// A request was served there, here or at a peer. True when the upstream had been avoided before.
+  /// Records a success of this daemon or a peer. Returns true if the upstream had been avoided.
   auto note_success() -> bool;
 
-  /// The failures so far turned out to be those of this daemon's own link.
+  /// Clears all failures, such as those found to be caused by the local link.
   auto forgive() -> void;
 
-  /// True while one more failure could make it avoided: then peers are told that it serves.
+  /// Returns true if one more failure of this daemon would cause avoidance; a success is then reported to
+  /// peers.
   [[nodiscard]] auto suspected(milliseconds now) const -> bool;
 
-  /// A request was sent there, and waits for its answer to begin.
+  /// Records a request whose response is pending.
   auto note_sent(milliseconds now) -> void { waiting_.insert(now); }
 
-  /// The answer to a request sent at that moment began, or will not begin any more.
+  /// Records the start of the response to the request sent at `sent_at`.
   auto note_answered(milliseconds sent_at, milliseconds now) -> void;
+
+  /// Removes the pending request sent at `sent_at`, if any.
   auto note_given_up(milliseconds sent_at) -> void;
 
-  /// True when requests wait that were sent at `link_sound_since` or later, and nothing was answered for too
-  /// long; once for each such time.
+  /// Returns true, and avoids the upstream, if a request sent at or after `link_sound_since` is pending and
+  /// no response arrived within the stall timeout. Returns false while the upstream is avoided.
   auto note_stall(milliseconds now, milliseconds link_sound_since = 0) -> bool;
 
   [[nodiscard]] auto avoided(milliseconds now) const -> bool { return avoid_until_ > now; }
   [[nodiscard]] auto avoid_until() const -> milliseconds { return avoid_until_; }
 
-  /// Weight of the failures in a row.
+  /// Total weight of consecutive failures.
   [[nodiscard]] auto weight() const -> int { return weight_; }
 
  private:
@@ -80,10 +78,10 @@
   upstream_health_settings settings_;
   double jitter_;
   int weight_ = 0;
-  int avoidances_ = 0;              ///< In a row.
-  std::vector<std::string> peers_;  ///< That failed in this row.
+  int avoidances_ = 0;              ///< Number of consecutive avoidances.
+  std::vector<std::string> peers_;  ///< Peers that reported one of the consecutive failures.
   milliseconds failed_at_ = 0;
-  milliseconds avoidance_ = 0;  ///< The last one.
+  milliseconds avoidance_ = 0;  ///< Nominal length of the latest avoidance.
   milliseconds avoid_until_ = 0;
   milliseconds answered_at_ = 0;
   std::multiset<milliseconds> waiting_;
--- a/birchlever/upstream/upstream_pool.h
+++ b/birchlever/upstream/upstream_pool.h
@@ -1,9 +1,8 @@
-/// The listed upstreams of one service, and a bounded number of them to choose among.
+/// Listed upstreams of one service, with sampling of candidates.
 ///
-/// Up to some hundred all are weighed for each request. Of thousands a sample is: where the prompt's previous
-/// turn ran and where its program is at home, those that this daemon used last (they hold its prompts and
-/// connections), some of its own data hall and some of any. So a choice costs the same whatever the fleet's
-/// size, and the freest of some dozen is about as good as the freest of all.
+/// Large pools are sampled, which makes the cost of a selection independent of the pool's size. A sample
+/// contains the upstreams most recently used by this daemon, some in its own data hall and some of the whole
+/// pool.
 #pragma once
 
 #include <deque>
@@ -15,16 +14,16 @@
 
 namespace birchlever {
 
-/// How many are weighed.
+/// Settings of upstream_pool.
 struct upstream_pool_settings {
-  std::size_t most_weighed_ = 160;   ///< Up to so many, all are.
-  std::size_t used_last_ = 16;       ///< Of a sample: those that this daemon used last.
-  std::size_t own_hall_ = 24;        ///< Of its own data hall.
-  std::size_t anywhere_ = 8;         ///< Of all.
-  std::size_t home_candidates_ = 8;  ///< Neighbours on the ring among which a subject's home is.
+  std::size_t most_weighed_ = 160;   ///< Pool size up to which all upstreams are candidates.
+  std::size_t used_last_ = 16;       ///< Sampled from those most recently used by this daemon.
+  std::size_t own_hall_ = 24;        ///< Sampled from this daemon's data hall.
+  std::size_t anywhere_ = 8;         ///< Sampled from the whole pool.
+  std::size_t home_candidates_ = 8;  ///< Candidates for the upstream of an affinity key.
 };
 
-/// For coroutines of one loop.
+/// Not thread-safe; use from one event loop.
 class upstream_pool {
  public:
   explicit upstream_pool(const upstream_pool_settings& settings = {}) : settings_{settings} {}
@@ -32,18 +31,19 @@
   auto add(const upstream_pointer& one) -> void;
   auto remove(const upstream_pointer& one) -> void;
 
-  /// A request of this daemon was sent there.
+  /// Marks an upstream as most recently used.
   auto note_used(const upstream_pointer& one) -> void;
 
   [[nodiscard]] auto all() const -> const std::vector<upstream_pointer>& { return all_; }
 
-  /// Those to choose among: all, or a sample that `seed` and the data hall decide.
+  /// Returns the candidates for a request: the whole pool, or a sample determined by the data hall and
+  /// `seed`.
   [[nodiscard]] auto sample(const std::string& hall, std::uint64_t seed) -> std::vector<upstream_pointer>;
 
-  /// True when a sample is smaller than the pool.
+  /// Returns true if the pool is large enough to be sampled.
   [[nodiscard]] auto sampled() const -> bool { return all_.size() > settings_.most_weighed_; }
 
-  /// Neighbours of a subject on a ring of ids: the same few for all daemons, whatever else they know.
+  /// Returns the upstreams following the key on a hash ring, which are the same on all daemons.
   [[nodiscard]] auto neighbours_of(const std::string& subject) const -> std::vector<upstream_pointer>;
 
  private:
@@ -54,8 +54,8 @@
   upstream_pool_settings settings_;
   std::vector<upstream_pointer> all_;
   std::unordered_map<std::string, std::vector<upstream_pointer>> by_hall_;
-  std::map<std::uint64_t, upstream_pointer> ring_;  ///< By the hash of their ids.
-  std::deque<upstream_pointer> used_;               ///< Latest first.
+  std::map<std::uint64_t, upstream_pointer> ring_;  ///< Hash ring of upstream ids.
+  std::deque<upstream_pointer> used_;               ///< Most recently used first.
   std::uint64_t samples_ = 0;
 };
 
--- a/birchlever/upstream/upstream_table.cpp
+++ b/birchlever/upstream/upstream_table.cpp
@@ -126,7 +126,7 @@
     }
   }
   if (fitting.empty()) {
-    return error{error_code::unknown_service, "no service '" + wish.service_ + "' takes calls now",
+    return error{error_code::unknown_service, "no VM of service '" + wish.service_ + "' is available",
                  ran_state::not_run, 1000};
   }
   auto chosen = placed{};
@@ -140,7 +140,7 @@
   auto pick = [&] { return wish.service_.empty() ? choose_engine(policy, wish, now) : choose_service(wish); };
   auto chosen = pick();
   if (!ok(chosen) && !wish.call_.avoid_.empty()) {
-    wish.call_.avoid_.clear();  // One that failed before is better than a refusal.
+    wish.call_.avoid_.clear();  // Retry an upstream that failed before rather than refusing the call.
     chosen = pick();
   }
   return chosen;
@@ -163,7 +163,7 @@
     views_[index].usable_ = true;
   }
   if (!ok(chosen) && !suspects.empty()) {
-    chosen = policy.choose(wish.call_, views_);  // A suspect is better than a refusal.
+    chosen = policy.choose(wish.call_, views_);  // Use a suspected engine rather than refusing the call.
   }
   if (!ok(chosen)) {
     return failure(chosen);
@@ -192,7 +192,7 @@
   }
   known_[index].sent_.push_back(now);
   if (prefix_holders_.size() > most_prefixes) {
-    prefix_holders_.clear();  // Rebuilt from traffic within seconds.
+    prefix_holders_.clear();  // Rebuilt quickly from traffic.
   }
   for (auto hash : prefix_hashes) {
     auto& holders = prefix_holders_[hash];
--- a/birchlever/upstream/upstream_table.h
+++ b/birchlever/upstream/upstream_table.h
@@ -1,4 +1,4 @@
-/// The upstreams as this daemon sees them, and the choice among them.
+/// Table of engines and services with their load, and selection of one for each call.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace birchlever {
 
-/// A load report of an engine.
+/// Load report of an engine.
 struct load_report {
   std::string engine_;
   double running_ = 0;
@@ -23,65 +23,65 @@
   double capacity_ = 1;
   double cache_tokens_ = 0;
   double cache_capacity_ = 1;
-  double lag_ms_ = 0;  ///< Age the engine itself gives the report.
+  double lag_ms_ = 0;  ///< Age in ms of the report when it was sent.
   std::vector<std::string> models_;
   std::string role_ = "both";
 };
 
-/// What the table needs to know of a call beside what policies see.
+/// Placement request of a call.
 struct placement {
   call_view call_;
   std::string service_;
   std::vector<std::uint64_t> prefix_hashes_;
-  std::string last_upstream_;            ///< Engine with the program's own prefix.
-  std::int64_t last_prefix_tokens_ = 0;  ///< Its length.
-  std::set<std::string> holders_;        ///< Engines that may hold copies.
+  std::string last_upstream_;            ///< Engine that has the program's prefix cached.
+  std::int64_t last_prefix_tokens_ = 0;  ///< Length of that prefix in tokens.
+  std::set<std::string> holders_;        ///< Engines that may have copies of the prefix.
 };
 
-/// A weighed engine by name, for explanations.
+/// Candidate engine with its costs, for diagnostics.
 struct explained_candidate {
   std::string engine_;
   candidate terms_;
 };
 
-/// The outcome of a choice.
+/// Result of a placement.
 struct placed {
   vm_entry upstream_;
   int priority_ = 0;
-  std::size_t weighed_ = 0;                     ///< Number of engines weighed.
-  std::vector<explained_candidate> explained_;  ///< The best of them, best first.
+  std::size_t weighed_ = 0;                     ///< Number of candidate engines.
+  std::vector<explained_candidate> explained_;  ///< Candidates with the lowest costs, in ascending order.
 };
 
-/// Thread safe. Reports are corrected by the calls this daemon's shards sent and saw end since.
+/// Thread-safe. Load reports are corrected by the calls that this daemon sent and finished since.
 class upstream_table {
  public:
-  /// Tokens that one prefix hash stands for.
+  /// Tokens covered by one prefix hash.
   static constexpr std::int64_t block_tokens = 256;
 
-  /// Takes in the platform's list and what operators drained.
+  /// Sets the listed VMs and the drained VMs and data halls.
   auto set_upstreams(const std::vector<vm_entry>& entries, const std::set<std::string>& drained,
                      const std::set<std::string>& drained_halls) -> void;
 
-  /// Takes in a report that was received at the given time.
+  /// Applies a load report received at `now`. Reports of unknown engines are ignored.
   auto report(const load_report& fresh, milliseconds now) -> void;
 
-  /// An engine threw its cache away or restarted: what was known of its prefixes is void.
+  /// Removes the cached prefixes of an engine, as after a restart or cache flush.
   auto forget_prefixes(const std::string& engine) -> void;
 
-  /// Chooses an upstream. Failures: no_upstream, unknown_service, unknown_model.
+  /// Selects an upstream. Failures: no_upstream, unknown_service.
   auto choose(const policy_interface& policy, placement wish, milliseconds now) -> result<placed>;
 
-  /// A call was sent.
+  /// Records a call sent to an upstream.
   auto sent(const std::string& upstream, const std::vector<std::uint64_t>& prefix_hashes, milliseconds now)
       -> void;
 
-  /// A call ended; failed ones make the upstream suspect for a while.
+  /// Records a finished call. Consecutive failures exclude the upstream temporarily.
   auto done(const std::string& upstream, bool failed, milliseconds now) -> void;
 
-  /// The engines as policies see them now.
+  /// Returns the current view of all engines.
   [[nodiscard]] auto engines(milliseconds now) -> std::vector<engine_view>;
 
-  /// The newest reports, to share with other owners.
+  /// Returns the latest reports of the given engines, for other daemons.
   [[nodiscard]] auto reports_of(const std::vector<std::string>& engines) const -> std::vector<load_report>;
 
  private:
@@ -103,7 +103,7 @@
   [[nodiscard]] auto index_of(const std::string& id) const -> std::size_t;
 
   mutable std::mutex mutex_;
-  std::vector<known_upstream> known_;  ///< Engines, in step with views_.
+  std::vector<known_upstream> known_;  ///< Same indices as views_.
   std::vector<engine_view> views_;
   std::vector<vm_entry> services_;
   std::map<std::string, std::size_t> index_;
