--- a/birchlever/accounts/account_book.cpp
+++ b/birchlever/accounts/account_registry.cpp
@@ -1,4 +1,4 @@
-#include "birchlever/accounts/account_book.h"
+#include "birchlever/accounts/account_registry.h"
 
 #include <cmath>
 
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-auto account_book::add_keys_of(std::size_t index) -> status {
+auto account_registry::add_keys_of(std::size_t index) -> status {
   for (const auto& digest : accounts_[index].key_digests_) {
     auto [place, added] = by_digest_.emplace(digest, index);
     if (!added && place->second != index) {
@@ -35,9 +35,9 @@
   return success;
 }
 
-auto account_book::create(std::vector<client_account> accounts)
-    -> result<std::shared_ptr<const account_book>> {
-  auto made = std::shared_ptr<account_book>{new account_book{}};
+auto account_registry::create(std::vector<client_account> accounts)
+    -> result<std::shared_ptr<const account_registry>> {
+  auto made = std::shared_ptr<account_registry>{new account_registry{}};
   made->accounts_ = std::move(accounts);
   for (auto index = std::size_t{0}; index < made->accounts_.size(); ++index) {
     const auto& account = made->accounts_[index];
@@ -53,15 +53,15 @@
       return failure(added);
     }
   }
-  return std::shared_ptr<const account_book>{std::move(made)};
+  return std::shared_ptr<const account_registry>{std::move(made)};
 }
 
-auto account_book::holder_of(const std::string& key_digest) const -> const client_account* {
+auto account_registry::holder_of(const std::string& key_digest) const -> const client_account* {
   auto found = by_digest_.find(key_digest);
   return found == by_digest_.end() ? nullptr : &accounts_[found->second];
 }
 
-auto account_book::find(const std::string& name) const -> const client_account* {
+auto account_registry::find(const std::string& name) const -> const client_account* {
   auto found = by_name_.find(name);
   return found == by_name_.end() ? nullptr : &accounts_[found->second];
 }
--- a/birchlever/accounts/account_book.h
+++ b/birchlever/accounts/account_registry.h
@@ -13,12 +13,12 @@
 namespace birchlever {
 
 /// Immutable after creation. A request keeps the registry that it was authorized against.
-class account_book {
+class account_registry {
  public:
   /// Validates the accounts and creates the registry. Failures: invalid_account for an empty or duplicate
   /// name, a negative or non-finite rate or burst, or a key assigned to two accounts. Messages contain
   /// account names and abbreviated digests, never keys.
-  static auto create(std::vector<client_account> accounts) -> result<std::shared_ptr<const account_book>>;
+  static auto create(std::vector<client_account> accounts) -> result<std::shared_ptr<const account_registry>>;
 
   /// Returns the account that a key with this digest is assigned to, or null. Lookup need not be
   /// constant-time with respect to the input, since timing could only reveal digests.
@@ -30,7 +30,7 @@
   [[nodiscard]] auto accounts() const -> const std::vector<client_account>& { return accounts_; }
 
  private:
-  account_book() = default;
+  account_registry() = default;
 
   auto add_keys_of(std::size_t index) -> status;
 
--- a/birchlever/accounts/account_usage.cpp
+++ b/birchlever/accounts/account_usage.cpp
@@ -36,7 +36,7 @@
   }
 }
 
-auto account_usage::to_prometheus(const account_book* book, std::size_t most) const -> std::string {
+auto account_usage::to_prometheus(const account_registry* book, std::size_t most) const -> std::string {
   auto order = std::vector<std::pair<std::string, counts>>{accounts_.begin(), accounts_.end()};
   std::sort(order.begin(), order.end(), [](const auto& one, const auto& other) {
     return one.second.asked_ > other.second.asked_ ||
--- a/birchlever/accounts/account_usage.h
+++ b/birchlever/accounts/account_usage.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "birchlever/accounts/account_book.h"
+#include "birchlever/accounts/account_registry.h"
 
 namespace birchlever {
 
@@ -18,7 +18,7 @@
 
   /// Returns the counters in Prometheus text format: the `most` accounts with the most requests, each with
   /// its requests by status and its abbreviated key digests, and the sum of all others. `book` may be null.
-  [[nodiscard]] auto to_prometheus(const account_book* book, std::size_t most) const -> std::string;
+  [[nodiscard]] auto to_prometheus(const account_registry* book, std::size_t most) const -> std::string;
 
  private:
   struct counts {
--- a/birchlever/accounts/allotment_bucket.cpp
+++ b/birchlever/accounts/allotment_bucket.cpp
@@ -30,14 +30,14 @@
   filled_at_ = now;
 }
 
-auto allotment_bucket::refused(double missing, double rate_per_ms) const -> allotment_verdict {
+auto allotment_bucket::refused(double missing, double rate_per_ms) const -> allotment_decision {
   auto longest = static_cast<double>(settings_.longest_retry_);
   auto needed = rate_per_ms > 0 ? std::ceil(missing / rate_per_ms) : longest;
   auto retry = std::clamp(needed, static_cast<double>(settings_.least_retry_), longest);
   return {false, 0, static_cast<milliseconds>(retry)};
 }
 
-auto allotment_bucket::grant_start(const allotment_claim& wanted, double rate_per_ms) -> allotment_verdict {
+auto allotment_bucket::grant_start(const allotment_claim& wanted, double rate_per_ms) -> allotment_decision {
   auto duration = static_cast<double>(std::max(wanted.program_ms_, settings_.least_program_));
   program_ms_ = program_ms_ == 0 ? duration : program_ms_ + duration_weight * (duration - program_ms_);
   auto room = level_ + rate_per_ms * program_ms_ * settings_.programs_fill_;
@@ -49,7 +49,7 @@
   return {true, 0, 0};
 }
 
-auto allotment_bucket::grant_later(double rate_per_ms, double overdraft) -> allotment_verdict {
+auto allotment_bucket::grant_later(double rate_per_ms, double overdraft) -> allotment_decision {
   auto after = level_ + overdraft - 1;
   auto deepest = -rate_per_ms * static_cast<double>(settings_.longest_wait_);
   if (after < std::min(deepest, 0.0)) {
@@ -61,7 +61,7 @@
 }
 
 auto allotment_bucket::claim(const allotment_claim& wanted, double share, milliseconds now, bool may_overdraw)
-    -> allotment_verdict {
+    -> allotment_decision {
   refill(wanted.allotment_, share, now);
   auto overdraft = may_overdraw ? settings_.overdraft_ * share : 0;
   auto rate_per_ms = wanted.allotment_.rate_per_s_ * share / ms_per_second;
--- a/birchlever/accounts/allotment_bucket.h
+++ b/birchlever/accounts/allotment_bucket.h
@@ -33,7 +33,7 @@
   /// Grants or refuses a claim. `share` is the fraction of the allotment that may be granted here, 0 to 1.
   /// Unless `may_overdraw` is set, the overdraft is not available to started programs.
   auto claim(const allotment_claim& wanted, double share, milliseconds now, bool may_overdraw = true)
-      -> allotment_verdict;
+      -> allotment_decision;
 
   /// Restarts the bucket with at most this fraction of the burst, since other daemons may have granted
   /// requests meanwhile.
@@ -50,9 +50,9 @@
 
  private:
   auto refill(const account_allotment& allotment, double share, milliseconds now) -> void;
-  auto grant_start(const allotment_claim& wanted, double rate_per_ms) -> allotment_verdict;
-  auto grant_later(double rate_per_ms, double overdraft) -> allotment_verdict;
-  [[nodiscard]] auto refused(double missing, double rate_per_ms) const -> allotment_verdict;
+  auto grant_start(const allotment_claim& wanted, double rate_per_ms) -> allotment_decision;
+  auto grant_later(double rate_per_ms, double overdraft) -> allotment_decision;
+  [[nodiscard]] auto refused(double missing, double rate_per_ms) const -> allotment_decision;
 
   allotment_bucket_settings settings_;
   double level_ = 0;
--- a/birchlever/accounts/grantor_desk.cpp
+++ b/birchlever/accounts/allotment_grantor.cpp
@@ -1,11 +1,11 @@
-#include "birchlever/accounts/grantor_desk.h"
+#include "birchlever/accounts/allotment_grantor.h"
 
 #include <algorithm>
 
 namespace birchlever {
 
-auto grantor_desk::claim(const allotment_claim& wanted, double share, bool first, double granted_alone,
-                         milliseconds now) -> allotment_verdict {
+auto allotment_grantor::claim(const allotment_claim& wanted, double share, bool first, double granted_alone,
+                              milliseconds now) -> allotment_decision {
   auto [place, added] = counters_.try_emplace(wanted.account_, counter{allotment_bucket{settings_.buckets_}});
   auto& known = place->second;
   if (added || now - known.claimed_ > settings_.break_) {
@@ -19,7 +19,7 @@
   return known.bucket_.claim(wanted, part, now, first);
 }
 
-auto grantor_desk::debit(const std::string& account, double tokens) -> void {
+auto allotment_grantor::debit(const std::string& account, double tokens) -> void {
   auto known = counters_.find(account);
   if (known != counters_.end()) {
     known->second.bucket_.debit(tokens);
--- a/birchlever/accounts/grantor_desk.h
+++ b/birchlever/accounts/allotment_grantor.h
@@ -8,8 +8,8 @@
 
 namespace birchlever {
 
-/// Settings of grantor_desk. Times in ms.
-struct grantor_desk_settings {
+/// Settings of allotment_grantor. Times in ms.
+struct allotment_grantor_settings {
   allotment_bucket_settings buckets_;
   double first_stand_in_share_ =
       0.5;                      ///< Maximum fraction of the allotment that a new backup grantor grants,
@@ -20,15 +20,15 @@
 };
 
 /// Deterministic: depends only on the claims and the times passed in.
-class grantor_desk {
+class allotment_grantor {
  public:
-  explicit grantor_desk(const grantor_desk_settings& settings = {}) : settings_{settings} {}
+  explicit allotment_grantor(const allotment_grantor_settings& settings = {}) : settings_{settings} {}
 
   /// Grants or refuses a claim. `share` is the reachable fraction of the fleet, `first` is set if this daemon
   /// is the account's primary grantor, and `granted_alone` is the number of requests that the requesting
   /// daemon forwarded without a grantor.
   auto claim(const allotment_claim& wanted, double share, bool first, double granted_alone, milliseconds now)
-      -> allotment_verdict;
+      -> allotment_decision;
 
   /// Deducts requests of the account that another daemon granted.
   auto debit(const std::string& account, double tokens) -> void;
@@ -40,7 +40,7 @@
     milliseconds claimed_ = 0;  ///< Time of the latest claim.
   };
 
-  grantor_desk_settings settings_;
+  allotment_grantor_settings settings_;
   std::unordered_map<std::string, counter> counters_;
 };
 
--- a/birchlever/accounts/allotment_policy.h
+++ b/birchlever/accounts/allotment_policy.h
@@ -20,7 +20,7 @@
 };
 
 /// Result of a claim.
-struct allotment_verdict {
+struct allotment_decision {
   bool granted_ = false;
   milliseconds wait_ = 0;         ///< If granted: ms to wait before the request is forwarded.
   milliseconds retry_after_ = 0;  ///< If refused: estimated ms until a claim can be granted.
@@ -32,7 +32,7 @@
   virtual ~allotment_policy() = default;
 
   /// Grants or refuses one request.
-  virtual auto claim(allotment_claim wanted) -> task<allotment_verdict> = 0;
+  virtual auto claim(allotment_claim wanted) -> task<allotment_decision> = 0;
 };
 
 }  // namespace birchlever
--- a/birchlever/accounts/client_account.h
+++ b/birchlever/accounts/client_account.h
@@ -19,7 +19,7 @@
   [[nodiscard]] auto most_in(double seconds) const -> double { return rate_per_s_ * seconds + burst_; }
 };
 
-/// Configuration of one account. Validated by `account_book`.
+/// Configuration of one account. Validated by `account_registry`.
 struct client_account {
   std::string name_;
   std::vector<std::string> key_digests_;  ///< Hexadecimal SHA-256 digests of its keys.
--- a/birchlever/accounts/equal_shares.cpp
+++ b/birchlever/accounts/equal_shares.cpp
@@ -23,7 +23,7 @@
   recent(account).push_back(clock_->now());
 }
 
-auto equal_shares::decide(const allotment_claim& wanted) -> allotment_verdict {
+auto equal_shares::decide(const allotment_claim& wanted) -> allotment_decision {
   auto daemons = static_cast<double>(std::max<std::int64_t>(daemons_(), 1));
   auto whole = wanted.allotment_.most_in(static_cast<double>(settings_.window_) / ms_per_second);
   auto share = settings_.part_ * whole / daemons;
@@ -37,7 +37,7 @@
   return {false, 0, std::max<milliseconds>(first_free, 1)};
 }
 
-auto equal_shares::claim(allotment_claim wanted) -> task<allotment_verdict> {
+auto equal_shares::claim(allotment_claim wanted) -> task<allotment_decision> {
   co_return decide(wanted);
 }
 
--- a/birchlever/accounts/equal_shares.h
+++ b/birchlever/accounts/equal_shares.h
@@ -29,10 +29,10 @@
                std::shared_ptr<const clock_interface> clock)
       : settings_{settings}, daemons_{std::move(daemons)}, clock_{std::move(clock)} {}
 
-  auto claim(allotment_claim wanted) -> task<allotment_verdict> override;
+  auto claim(allotment_claim wanted) -> task<allotment_decision> override;
 
   /// Synchronous form of claim().
-  auto decide(const allotment_claim& wanted) -> allotment_verdict;
+  auto decide(const allotment_claim& wanted) -> allotment_decision;
 
   /// Records a request that another daemon granted and this daemon forwards.
   auto note_granted(const std::string& account) -> void;
--- a/birchlever/accounts/program_sizes.h
+++ b/birchlever/accounts/program_size_estimate.h
@@ -6,7 +6,7 @@
 namespace birchlever {
 
 /// Ratio of two exponentially decaying counters.
-class program_sizes {
+class program_size_estimate {
  public:
   /// Records a request. `begins` is set for the first request of a program.
   auto note(bool begins, milliseconds now) -> void;
--- a/birchlever/accounts/reached_share.cpp
+++ b/birchlever/accounts/reachable_share.cpp
@@ -1,4 +1,4 @@
-#include "birchlever/accounts/reached_share.h"
+#include "birchlever/accounts/reachable_share.h"
 
 #include <algorithm>
 #include <cmath>
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-auto reached_share(const heard_peers& peers) -> double {
+auto reachable_share(const peer_reachability& peers) -> double {
   if (peers.living_ == 0 || peers.listening_ < peers.window_) {
     return 1;
   }
--- a/birchlever/accounts/reached_share.h
+++ b/birchlever/accounts/reachable_share.h
@@ -10,7 +10,7 @@
 namespace birchlever {
 
 /// Observations of a daemon about its peers.
-struct heard_peers {
+struct peer_reachability {
   std::size_t living_ = 0;       ///< Peers not yet removed as unresponsive.
   std::size_t heard_ = 0;        ///< Live peers seen within `window_`.
   milliseconds window_ = 0;      ///< Observation window in ms.
@@ -21,6 +21,6 @@
 
 /// Returns the reachable fraction of the fleet, 0 to 1; 1 without peers or before a full window has been
 /// observed.
-[[nodiscard]] auto reached_share(const heard_peers& peers) -> double;
+[[nodiscard]] auto reachable_share(const peer_reachability& peers) -> double;
 
 }  // namespace birchlever
--- a/birchlever/controllers/allotment_messages.h
+++ b/birchlever/controllers/allotment_messages.h
@@ -26,7 +26,7 @@
 struct allotment_answer {
   std::uint64_t number_ = 0;
   bool known_ = false;  ///< The account has a limit where it was asked.
-  allotment_verdict verdict_;
+  allotment_decision verdict_;
 };
 
 /// So many were granted by a daemon that stands in for the one told.
--- a/birchlever/controllers/central_grants.cpp
+++ b/birchlever/controllers/central_grants.cpp
@@ -188,7 +188,7 @@
   co_return waiting->answer_;
 }
 
-auto central_grants::claim(allotment_claim wanted) -> task<allotment_verdict> {
+auto central_grants::claim(allotment_claim wanted) -> task<allotment_decision> {
   auto self = shared_from_this();
   auto ask = ask_of(wanted, ++asks_);
   ask.granted_alone_ = granted_alone_[wanted.account_];
--- a/birchlever/controllers/central_grants.h
+++ b/birchlever/controllers/central_grants.h
@@ -13,8 +13,8 @@
 #include <string>
 #include <unordered_map>
 
+#include "birchlever/accounts/allotment_grantor.h"
 #include "birchlever/accounts/equal_shares.h"
-#include "birchlever/accounts/grantor_desk.h"
 #include "birchlever/accounts/grantor_order.h"
 #include "birchlever/controllers/allotment_messages.h"
 #include "birchlever/http/loop_signal.h"
@@ -25,7 +25,7 @@
 struct central_grants_settings {
   std::string vm_;
   std::string address_;  ///< "ip:port" of the datagrams; the port is the same on all daemons.
-  grantor_desk_settings desk_;
+  allotment_grantor_settings desk_;
   milliseconds answer_limit_ =
       60;                         ///< For one ask. A way there and back takes 2 ms; small VMs pause for tens.
   int tries_ = 2;                 ///< Asks of one grantor: a datagram is lost now and then.
@@ -56,7 +56,7 @@
   static auto create(event_loop& loop, const central_grants_settings& settings, limit_function limit_of,
                      share_function share) -> result<std::shared_ptr<central_grants>>;
 
-  auto claim(allotment_claim wanted) -> task<allotment_verdict> override;
+  auto claim(allotment_claim wanted) -> task<allotment_decision> override;
 
   /// The daemons that the store lists, without this one.
   auto set_members(member_map members) -> void;
@@ -93,7 +93,7 @@
   asio::ip::udp::socket socket_;
   std::shared_ptr<steady_clock> clock_;
   grantor_order order_;
-  grantor_desk desk_;
+  allotment_grantor desk_;
   equal_shares fallback_;
   member_map members_;
   bool members_known_ = false;
--- a/birchlever/coordination/fleet_configuration.cpp
+++ b/birchlever/coordination/fleet_configuration.cpp
@@ -79,7 +79,7 @@
   for (const auto& [name, account] : parsed.accounts_) {
     accounts.push_back(account);
   }
-  auto book = account_book::create(std::move(accounts));
+  auto book = account_registry::create(std::move(accounts));
   if (!ok(book)) {
     return failure(book);
   }
--- a/birchlever/coordination/fleet_configuration.h
+++ b/birchlever/coordination/fleet_configuration.h
@@ -8,7 +8,7 @@
 #include <set>
 #include <string>
 
-#include "birchlever/accounts/account_book.h"
+#include "birchlever/accounts/account_registry.h"
 #include "birchlever/core/result.h"
 #include "birchlever/policy/policy_settings.h"
 
@@ -27,7 +27,7 @@
 /// Everything operators change while the fleet runs.
 struct fleet_configuration {
   std::map<std::string, client_account> accounts_;
-  std::shared_ptr<const account_book> book_;  ///< The accounts as checked when parsed; not stored.
+  std::shared_ptr<const account_registry> book_;  ///< The accounts as checked when parsed; not stored.
   std::map<std::string, fleet_policy> policies_;
   std::set<std::string> drained_upstreams_;
   std::set<std::string> drained_halls_;
--- a/birchlever/coordination/serving_configuration.h
+++ b/birchlever/coordination/serving_configuration.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "birchlever/accounts/account_book.h"
+#include "birchlever/accounts/account_registry.h"
 #include "birchlever/core/clock.h"
 #include "birchlever/http/server_connection.h"
 
@@ -70,7 +70,7 @@
   std::vector<route> routes_;
   std::map<std::string, service_description> services_;
   request_limits limits_;
-  std::shared_ptr<const account_book> accounts_;  ///< None where client accounts are not told apart.
+  std::shared_ptr<const account_registry> accounts_;  ///< None where client accounts are not told apart.
 
   /// The route of a host whose prefix begins the path and is longest, or none.
   [[nodiscard]] auto find_route(std::string_view host, std::string_view path) const -> const route*;
--- a/birchlever/gateway/allotment_filter.h
+++ b/birchlever/gateway/allotment_filter.h
@@ -1,7 +1,7 @@
 /// Lets a request go on while its client account's allotment has room.
 #pragma once
 
-#include "birchlever/accounts/program_sizes.h"
+#include "birchlever/accounts/program_size_estimate.h"
 #include "birchlever/gateway/gateway_context.h"
 #include "birchlever/gateway/gateway_filter.h"
 
@@ -21,7 +21,7 @@
   [[nodiscard]] auto claim_of(const gateway_request& request, bool begins) const -> allotment_claim;
 
   std::shared_ptr<gateway_context> context_;
-  program_sizes sizes_;
+  program_size_estimate sizes_;
 };
 
 }  // namespace birchlever
--- a/birchlever_daemon/gateway_daemon_peers.cpp
+++ b/birchlever_daemon/gateway_daemon_peers.cpp
@@ -1,7 +1,7 @@
 /// The part of gateway_daemon that works with other daemons: what they tell each other, budgets handed over,
 /// allowances, calls of the store made for each other.
 #include "birchlever/accounts/equal_shares.h"
-#include "birchlever/accounts/reached_share.h"
+#include "birchlever/accounts/reachable_share.h"
 #include "birchlever/controllers/budget_transfer.h"
 #include "birchlever/controllers/central_grants.h"
 #include "birchlever/controllers/peer_feed.h"
@@ -110,14 +110,14 @@
 }
 
 auto gateway_daemon::allotment_share() const -> double {
-  auto heard = heard_peers{};
+  auto heard = peer_reachability{};
   heard.living_ = peers_->views().heard_within(peer_gone_after);
   heard.window_ = allotment_hearing;
   heard.heard_ = peers_->views().heard_within(allotment_hearing);
   heard.listening_ = context_->clock_.now() - joined_at_;
   heard.send_gap_ = peers_->settings().send_gap_;
   heard.receivers_ = static_cast<std::size_t>(peers_->settings().most_receivers_);
-  return reached_share(heard);
+  return reachable_share(heard);
 }
 
 auto gateway_daemon::hold_allowances() -> status {
--- a/fleet_model/allotment_model.cpp
+++ b/fleet_model/allotment_model.cpp
@@ -5,10 +5,10 @@
 #include <memory>
 #include <random>
 
+#include "birchlever/accounts/allotment_grantor.h"
 #include "birchlever/accounts/equal_shares.h"
-#include "birchlever/accounts/grantor_desk.h"
 #include "birchlever/accounts/grantor_order.h"
-#include "birchlever/accounts/reached_share.h"
+#include "birchlever/accounts/reachable_share.h"
 #include "birchlever/controllers/central_grants.h"
 #include "fleet_model/event_queue.h"
 
@@ -28,7 +28,7 @@
 
 /// One daemon and what it believes.
 struct granting_daemon {
-  granting_daemon(std::string vm, const grantor_desk_settings& desk, const equal_shares_settings& shares,
+  granting_daemon(std::string vm, const allotment_grantor_settings& desk, const equal_shares_settings& shares,
                   std::int64_t daemons, std::shared_ptr<const clock_interface> clock)
       : order_{grantor_order_settings{vm}},
         desk_{desk},
@@ -36,7 +36,7 @@
         vm_{std::move(vm)} {}
 
   grantor_order order_;
-  grantor_desk desk_;
+  allotment_grantor desk_;
   equal_shares shares_;
   double granted_alone_ = 0;
   std::string vm_;
@@ -54,7 +54,7 @@
 };
 
 using program_pointer = std::shared_ptr<sent_program>;
-using verdict_function = std::function<void(allotment_verdict)>;
+using verdict_function = std::function<void(allotment_decision)>;
 
 class allotment_play {
  public:
@@ -93,8 +93,8 @@
     }
   }
 
-  auto desk_settings() const -> grantor_desk_settings {
-    auto settings = grantor_desk_settings{};
+  auto desk_settings() const -> allotment_grantor_settings {
+    auto settings = allotment_grantor_settings{};
     settings.buckets_.overdraft_ = load_.overdraft_;
     return settings;
   }
@@ -153,10 +153,10 @@
     if (way_ == allotment_way::scattered) {
       wanted.begins_program_ = false;
     }
-    claim(program->daemon_, wanted, [this, program](allotment_verdict verdict) { take(program, verdict); });
+    claim(program->daemon_, wanted, [this, program](allotment_decision verdict) { take(program, verdict); });
   }
 
-  auto take(const program_pointer& program, allotment_verdict verdict) -> void {
+  auto take(const program_pointer& program, allotment_decision verdict) -> void {
     if (!verdict.granted_) {
       outcome_.refused_ += program->tries_ == 0 ? 1 : 0;
       if (++program->tries_ >= caller_tries) {
@@ -194,7 +194,7 @@
   }
 
   auto share_of(std::size_t index) const -> double {
-    auto heard = heard_peers{};
+    auto heard = peer_reachability{};
     heard.living_ = daemons_.size() - 1;
     heard.window_ = static_cast<milliseconds>(hearing_ms);
     auto listening = events_.now_ms() - load_.kill_at_ms_ - load_.kill_pause_ms_;
@@ -207,10 +207,10 @@
                   (known_dead && !daemons_[other]->alive_);
       heard.heard_ += other == index || lost ? 0 : 1;
     }
-    return reached_share(heard);
+    return reachable_share(heard);
   }
 
-  auto decide(std::size_t asker, std::size_t grantor, const allotment_claim& wanted) -> allotment_verdict {
+  auto decide(std::size_t asker, std::size_t grantor, const allotment_claim& wanted) -> allotment_decision {
     auto& daemon = *daemons_[grantor];
     auto alone = std::exchange(daemons_[asker]->granted_alone_, 0);
     auto first = index_of(daemon.order_.first(account_name));
@@ -268,7 +268,7 @@
     });
   }
 
-  auto answer(std::size_t daemon, allotment_verdict verdict, const verdict_function& done) -> void {
+  auto answer(std::size_t daemon, allotment_decision verdict, const verdict_function& done) -> void {
     if (verdict.granted_) {
       daemons_[daemon]->shares_.note_granted(account_name);
     }
@@ -295,7 +295,7 @@
   auto restart(std::size_t count) -> void {
     for (auto index = std::size_t{0}; index < count; ++index) {
       auto& daemon = *daemons_[index];
-      daemon.desk_ = grantor_desk{desk_settings()};
+      daemon.desk_ = allotment_grantor{desk_settings()};
       auto count_all = [this] { return static_cast<std::int64_t>(load_.daemons_); };
       daemon.shares_ = equal_shares{share_settings(), count_all, events_.clock()};
       daemon.alive_ = true;
--- a/fleet_model/allotment_model.h
+++ b/fleet_model/allotment_model.h
@@ -1,6 +1,6 @@
 /// Programs of one client account over a fleet of daemons that keep its allotment together, on an event
 /// clock. The daemons decide with the product's own grantor_order, allotment_bucket, equal_shares and
-/// reached_share; ways, losses, cuts and kills are the model's.
+/// reachable_share; ways, losses, cuts and kills are the model's.
 #pragma once
 
 #include <cstdint>
--- a/unit_tests/accounts/account_book_test.cpp
+++ b/unit_tests/accounts/account_registry_test.cpp
@@ -1,5 +1,5 @@
 /// Accounts of a configuration: what is found, what is refused, and that no key shows.
-#include "birchlever/accounts/account_book.h"
+#include "birchlever/accounts/account_registry.h"
 
 #include <catch2/catch.hpp>
 
@@ -18,7 +18,7 @@
 }
 
 auto refusal_of(std::vector<client_account> accounts) -> error {
-  auto made = account_book::create(std::move(accounts));
+  auto made = account_registry::create(std::move(accounts));
   REQUIRE(!ok(made));
   return failure(made);
 }
@@ -26,7 +26,7 @@
 }  // namespace
 
 TEST_CASE("an account is found by each of its keys, and by nothing else") {
-  auto made = account_book::create({account("notary", {"key-1", "key-2"}), account("survey", {"key-3"})});
+  auto made = account_registry::create({account("notary", {"key-1", "key-2"}), account("survey", {"key-3"})});
   REQUIRE(ok(made));
   const auto& book = *value(made);
   CHECK(book.holder_of(sha256_of("key-2"))->name_ == "notary");
@@ -54,7 +54,7 @@
 }
 
 TEST_CASE("one account may list a key twice") {
-  CHECK(ok(account_book::create({account("a", {"key-1", "key-1"})})));
+  CHECK(ok(account_registry::create({account("a", {"key-1", "key-1"})})));
 }
 
 TEST_CASE("an allotment holds its rate over a span and its burst once; no rate means no limit") {
--- a/unit_tests/accounts/account_usage_test.cpp
+++ b/unit_tests/accounts/account_usage_test.cpp
@@ -18,7 +18,7 @@
   auto account = client_account{};
   account.name_ = "account-1199";
   account.key_digests_ = {sha256_of("secret-1"), sha256_of("secret-2")};
-  auto book = value(account_book::create({account}));
+  auto book = value(account_registry::create({account}));
   auto text = usage.to_prometheus(book.get(), 3);
   CHECK(std::count(text.begin(), text.end(), '\n') == 2 * 4 + 1);
   CHECK(text.find("account_requests_total{account=\"account-1199\",status=\"200\"} 600\n") !=
--- a/unit_tests/accounts/allotment_test.cpp
+++ b/unit_tests/accounts/allotment_test.cpp
@@ -6,8 +6,8 @@
 #include "birchlever/accounts/allotment_bucket.h"
 #include "birchlever/accounts/equal_shares.h"
 #include "birchlever/accounts/grantor_order.h"
-#include "birchlever/accounts/program_sizes.h"
-#include "birchlever/accounts/reached_share.h"
+#include "birchlever/accounts/program_size_estimate.h"
+#include "birchlever/accounts/reachable_share.h"
 
 namespace birchlever {
 namespace {
@@ -170,19 +170,19 @@
 }
 
 TEST_CASE("a side of a cut may grant the part of the allotment that its daemons stand for") {
-  CHECK(reached_share({66, 66, 1200, 5000, 200, 16}) == 1);
-  CHECK(reached_share({66, 52, 1200, 5000, 200, 16}) == 1);  // By chance some are not heard for a while.
-  auto larger = reached_share({66, 33, 1200, 5000, 200, 16});
-  auto smaller = reached_share({66, 17, 1200, 5000, 200, 16});
+  CHECK(reachable_share({66, 66, 1200, 5000, 200, 16}) == 1);
+  CHECK(reachable_share({66, 52, 1200, 5000, 200, 16}) == 1);  // By chance some are not heard for a while.
+  auto larger = reachable_share({66, 33, 1200, 5000, 200, 16});
+  auto smaller = reachable_share({66, 17, 1200, 5000, 200, 16});
   CHECK(larger < 0.75);
   CHECK(larger + smaller < 1.1);
-  CHECK(reached_share({66, 0, 1200, 5000, 200, 16}) == Approx(1.0 / 67));
-  CHECK(reached_share({66, 0, 1200, 300, 200, 16}) == 1);  // It has only begun to listen.
-  CHECK(reached_share({0, 0, 1200, 5000, 200, 16}) == 1);
+  CHECK(reachable_share({66, 0, 1200, 5000, 200, 16}) == Approx(1.0 / 67));
+  CHECK(reachable_share({66, 0, 1200, 300, 200, 16}) == 1);  // It has only begun to listen.
+  CHECK(reachable_share({0, 0, 1200, 5000, 200, 16}) == 1);
 }
 
 TEST_CASE("the mean size of programs follows what passes, and is no less than one request") {
-  auto sizes = program_sizes{};
+  auto sizes = program_size_estimate{};
   auto now = milliseconds{1};
   for (auto program = 0; program < 400; ++program) {
     for (auto request = 0; request < 20; ++request) {
--- a/unit_tests/controllers/central_grants_test.cpp
+++ b/unit_tests/controllers/central_grants_test.cpp
@@ -48,7 +48,7 @@
     daemons_.push_back(value(made));
   }
 
-  auto claim(int index, const std::string& account = "a") -> allotment_verdict {
+  auto claim(int index, const std::string& account = "a") -> allotment_decision {
     auto wanted = allotment_claim{account, limit_, false, 1, 0};
     return run_to_end(loop_, daemons_[static_cast<std::size_t>(index)]->claim(std::move(wanted)));
   }
--- a/unit_tests/gateway/gateway_fixture.cpp
+++ b/unit_tests/gateway/gateway_fixture.cpp
@@ -105,7 +105,7 @@
 }
 
 auto gateway_fixture::take_accounts(std::vector<client_account> accounts) -> void {
-  auto book = account_book::create(std::move(accounts));
+  auto book = account_registry::create(std::move(accounts));
   REQUIRE(ok(book));
   configuration_.accounts_ = value(book);
   ++configuration_.version_;
