--- a/birchlever/accounts/account_registry.cpp
+++ b/birchlever/accounts/account_registry.cpp
@@ -28,7 +28,7 @@
   for (const auto& digest : accounts_[index].key_digests_) {
     auto [place, added] = by_digest_.emplace(digest, index);
     if (!added && place->second != index) {
-      return invalid("key " + shown_digest(digest) + " is assigned to two accounts: " +
+      return invalid("key " + abbreviated_digest(digest) + " is assigned to two accounts: " +
                      accounts_[place->second].name_ + " and " + accounts_[index].name_);
     }
   }
@@ -56,7 +56,7 @@
   return std::shared_ptr<const account_registry>{std::move(made)};
 }
 
-auto account_registry::holder_of(const std::string& key_digest) const -> const client_account* {
+auto account_registry::find_by_key_digest(const std::string& key_digest) const -> const client_account* {
   auto found = by_digest_.find(key_digest);
   return found == by_digest_.end() ? nullptr : &accounts_[found->second];
 }
--- a/birchlever/accounts/account_registry.h
+++ b/birchlever/accounts/account_registry.h
@@ -22,7 +22,7 @@
 
   /// Returns the account that a key with this digest is assigned to, or null. Lookup need not be
   /// constant-time with respect to the input, since timing could only reveal digests.
-  [[nodiscard]] auto holder_of(const std::string& key_digest) const -> const client_account*;
+  [[nodiscard]] auto find_by_key_digest(const std::string& key_digest) const -> const client_account*;
 
   /// Returns the account with the given name, or null.
   [[nodiscard]] auto find(const std::string& name) const -> const client_account*;
--- a/birchlever/accounts/account_usage.cpp
+++ b/birchlever/accounts/account_usage.cpp
@@ -15,7 +15,7 @@
   auto text = std::ostringstream{};
   text << "account_keys{account=\"" << account.name_ << "\",digests=\"";
   for (const auto& digest : account.key_digests_) {
-    text << (&digest == &account.key_digests_.front() ? "" : " ") << shown_digest(digest);
+    text << (&digest == &account.key_digests_.front() ? "" : " ") << abbreviated_digest(digest);
   }
   text << "\"} " << account.key_digests_.size() << '\n';
   return text.str();
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-auto account_usage::note(const std::string& account, int status) -> void {
+auto account_usage::record(const std::string& account, int status) -> void {
   auto& known = accounts_[account];
   ++known.asked_;
   ++known.by_status_[status];
--- a/birchlever/accounts/account_usage.h
+++ b/birchlever/accounts/account_usage.h
@@ -14,7 +14,7 @@
 class account_usage {
  public:
   /// Records a finished request. `status` is 0 if no status was sent to the caller.
-  auto note(const std::string& account, int status) -> void;
+  auto record(const std::string& account, int status) -> void;
 
   /// Returns the counters in Prometheus text format: the `most` accounts with the most requests, each with
   /// its requests by status and its abbreviated key digests, and the sum of all others. `book` may be null.
--- a/birchlever/accounts/allotment_bucket.h
+++ b/birchlever/accounts/allotment_bucket.h
@@ -13,16 +13,16 @@
 
 /// Settings of allotment_bucket. Times in ms.
 struct allotment_bucket_settings {
-  double first_share_ = 0.25;  ///< Initial fill level of a new bucket, as a fraction of the burst; low
-                               ///< because another daemon may have granted requests before.
+  double initial_share_ = 0.25;  ///< Initial fill level of a new bucket, as a fraction of the burst; low
+                                 ///< because another daemon may have granted requests before.
   double overdraft_ = 0;  ///< Requests that started programs may send beyond the allotment; deducted from
                           ///< later refills. Lets programs finish that need more than the burst.
-  milliseconds longest_wait_ = 1000;   ///< Maximum time that a request of a started program is delayed.
-  milliseconds least_retry_ = 250;     ///< Lower limit of retry_after_.
-  milliseconds longest_retry_ = 5000;  ///< Upper limit of retry_after_.
-  double programs_fill_ = 0.5;         ///< Fraction of the mean program duration over which the requests of
-                                       ///< started programs are expected to arrive.
-  milliseconds least_program_ = 500;   ///< Lower limit of the program duration used in estimates.
+  milliseconds max_wait_ = 1000;         ///< Maximum time that a request of a started program is delayed.
+  milliseconds min_retry_after_ = 250;   ///< Lower limit of retry_after_.
+  milliseconds max_retry_after_ = 5000;  ///< Upper limit of retry_after_.
+  double arrival_spread_ = 0.5;          ///< Fraction of the mean program duration over which the requests of
+                                         ///< started programs are expected to arrive.
+  milliseconds min_program_duration_ = 500;  ///< Lower limit of the program duration used in estimates.
 };
 
 /// Deterministic: depends only on the claims and the times passed in.
@@ -57,7 +57,7 @@
   allotment_bucket_settings settings_;
   double level_ = 0;
   double committed_ = 0;
-  double program_ms_ = 0;  ///< Moving average of the duration of programs started here.
+  double mean_program_ms_ = 0;  ///< Moving average of the duration of programs started here.
   std::optional<milliseconds> filled_at_;
 };
 
--- a/birchlever/accounts/allotment_grantor.cpp
+++ b/birchlever/accounts/allotment_grantor.cpp
@@ -8,14 +8,14 @@
                               milliseconds now) -> allotment_decision {
   auto [place, added] = counters_.try_emplace(wanted.account_, counter{allotment_bucket{settings_.buckets_}});
   auto& known = place->second;
-  if (added || now - known.claimed_ > settings_.break_) {
+  if (added || now - known.claimed_ > settings_.idle_reset_) {
     known.since_ = now;
-    known.bucket_.reopen(wanted.allotment_, first ? settings_.buckets_.first_share_ : 0, now);
+    known.bucket_.reopen(wanted.allotment_, first ? settings_.buckets_.initial_share_ : 0, now);
   }
   known.claimed_ = now;
   known.bucket_.debit(granted_alone);
-  auto unsure = !first && now - known.since_ < settings_.unsure_;
-  auto part = unsure ? std::min(share, settings_.first_stand_in_share_) : share;
+  auto unsure = !first && now - known.since_ < settings_.partition_detection_;
+  auto part = unsure ? std::min(share, settings_.max_new_backup_share_) : share;
   return known.bucket_.claim(wanted, part, now, first);
 }
 
--- a/birchlever/accounts/allotment_grantor.h
+++ b/birchlever/accounts/allotment_grantor.h
@@ -11,12 +11,13 @@
 /// Settings of allotment_grantor. Times in ms.
 struct allotment_grantor_settings {
   allotment_bucket_settings buckets_;
-  double first_stand_in_share_ =
-      0.5;                      ///< Maximum fraction of the allotment that a new backup grantor grants,
-                                ///< since the primary may still be granting behind a network partition.
-  milliseconds unsure_ = 1200;  ///< Duration of that limit; by then a partition has been detected.
-  milliseconds break_ = 2000;   ///< Time without claims after which the bucket is restarted, since
-                                ///< another daemon may have granted meanwhile.
+  double max_new_backup_share_ =
+      0.5;  ///< Maximum fraction of the allotment that a new backup grantor grants,
+            ///< since the primary may still be granting behind a network partition.
+  milliseconds partition_detection_ =
+      1200;                         ///< Duration of that limit; by then a partition has been detected.
+  milliseconds idle_reset_ = 2000;  ///< Time without claims after which the bucket is restarted, since
+                                    ///< another daemon may have granted meanwhile.
 };
 
 /// Deterministic: depends only on the claims and the times passed in.
--- a/birchlever/accounts/allotment_policy.h
+++ b/birchlever/accounts/allotment_policy.h
@@ -14,9 +14,9 @@
 struct allotment_claim {
   std::string account_;
   account_allotment allotment_;
-  bool begins_program_ = false;  ///< First request of a program.
-  double program_requests_ = 1;  ///< Expected number of requests of the program, this one included.
-  milliseconds program_ms_ = 0;  ///< Expected duration of the program in ms.
+  bool starts_program_ = false;         ///< First request of a program.
+  double expected_requests_ = 1;        ///< Expected number of requests of the program, this one included.
+  milliseconds expected_duration_ = 0;  ///< Expected duration of the program in ms.
 };
 
 /// Result of a claim.
--- a/birchlever/accounts/client_account.h
+++ b/birchlever/accounts/client_account.h
@@ -16,7 +16,9 @@
   [[nodiscard]] auto limited() const -> bool { return rate_per_s_ > 0; }
 
   /// Returns the maximum number of requests within any period of the given length.
-  [[nodiscard]] auto most_in(double seconds) const -> double { return rate_per_s_ * seconds + burst_; }
+  [[nodiscard]] auto max_requests_in(double seconds) const -> double {
+    return rate_per_s_ * seconds + burst_;
+  }
 };
 
 /// Configuration of one account. Validated by `account_registry`.
--- a/birchlever/accounts/equal_shares.cpp
+++ b/birchlever/accounts/equal_shares.cpp
@@ -19,15 +19,15 @@
   return granted;
 }
 
-auto equal_shares::note_granted(const std::string& account) -> void {
+auto equal_shares::record_granted(const std::string& account) -> void {
   recent(account).push_back(clock_->now());
 }
 
 auto equal_shares::decide(const allotment_claim& wanted) -> allotment_decision {
   auto daemons = static_cast<double>(std::max<std::int64_t>(daemons_(), 1));
-  auto whole = wanted.allotment_.most_in(static_cast<double>(settings_.window_) / ms_per_second);
-  auto share = settings_.part_ * whole / daemons;
-  auto usable = wanted.begins_program_ ? share * (1 - settings_.begun_reserve_) : share;
+  auto whole = wanted.allotment_.max_requests_in(static_cast<double>(settings_.window_) / ms_per_second);
+  auto share = settings_.granted_share_ * whole / daemons;
+  auto usable = wanted.starts_program_ ? share * (1 - settings_.started_program_reserve_) : share;
   auto& granted = recent(wanted.account_);
   if (static_cast<double>(granted.size()) + 1 <= usable) {
     granted.push_back(clock_->now());
--- a/birchlever/accounts/equal_shares.h
+++ b/birchlever/accounts/equal_shares.h
@@ -15,8 +15,8 @@
 /// Settings of equal_shares.
 struct equal_shares_settings {
   milliseconds window_ = 5000;  ///< Length in ms of the sliding window in which requests are counted.
-  double part_ = 1;             ///< Fraction of this daemon's share that may be granted.
-  double begun_reserve_ = 0.5;  ///< Fraction reserved for requests of started programs.
+  double granted_share_ = 1;    ///< Fraction of this daemon's share that may be granted.
+  double started_program_reserve_ = 0.5;  ///< Fraction reserved for requests of started programs.
 };
 
 /// Not thread-safe; use from one event loop.
@@ -35,7 +35,7 @@
   auto decide(const allotment_claim& wanted) -> allotment_decision;
 
   /// Records a request that another daemon granted and this daemon forwards.
-  auto note_granted(const std::string& account) -> void;
+  auto record_granted(const std::string& account) -> void;
 
  private:
   using moments = std::deque<milliseconds>;
--- a/birchlever/accounts/grantor_order.cpp
+++ b/birchlever/accounts/grantor_order.cpp
@@ -24,10 +24,10 @@
   for (const auto& vm : members_) {
     order.push_back({rendezvous_weight(vm, account), &vm});
   }
-  auto count = std::min(order.size(), settings_.most_grantors_);
+  auto count = std::min(order.size(), settings_.max_grantors_);
   std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(count), order.end());
   auto best = std::vector<std::string>{};
-  for (auto index = std::size_t{0}; index < count && best.size() < settings_.most_candidates_; ++index) {
+  for (auto index = std::size_t{0}; index < count && best.size() < settings_.max_candidates_; ++index) {
     auto silent = silent_.find(*order[index].vm_);
     if (silent == silent_.end() || silent->second.until_ <= now) {
       best.push_back(*order[index].vm_);
@@ -36,7 +36,7 @@
   return best;
 }
 
-auto grantor_order::first(const std::string& account) const -> std::string {
+auto grantor_order::primary(const std::string& account) const -> std::string {
   const auto* best = &settings_.vm_;
   auto weight = rendezvous_weight(settings_.vm_, account);
   for (const auto& vm : members_) {
@@ -49,10 +49,10 @@
   return *best;
 }
 
-auto grantor_order::note_silent(const std::string& vm, milliseconds now) -> void {
+auto grantor_order::record_unresponsive(const std::string& vm, milliseconds now) -> void {
   auto& silent = silent_[vm];
-  auto pass_over = settings_.first_pass_over_ << std::min(silent.times_, most_doublings);
-  silent.until_ = now + std::min(pass_over, settings_.longest_pass_over_);
+  auto pass_over = settings_.initial_backoff_ << std::min(silent.times_, most_doublings);
+  silent.until_ = now + std::min(pass_over, settings_.max_backoff_);
   ++silent.times_;
 }
 
--- a/birchlever/accounts/grantor_order.h
+++ b/birchlever/accounts/grantor_order.h
@@ -13,12 +13,12 @@
 /// Settings of grantor_order. Times in ms.
 struct grantor_order_settings {
   std::string vm_;                      ///< VM of this daemon.
-  milliseconds first_pass_over_ = 500;  ///< Initial time for which an unresponsive daemon is skipped; doubled
+  milliseconds initial_backoff_ = 500;  ///< Initial time for which an unresponsive daemon is skipped; doubled
                                         ///< each further time.
-  milliseconds longest_pass_over_ = 8000;  ///< Upper limit of that time.
-  std::size_t most_candidates_ = 2;        ///< Maximum number of daemons asked per request.
-  std::size_t most_grantors_ = 5;          ///< Maximum number of daemons eligible as grantors of one account;
-                                           ///< limits how many grant at once during a network partition.
+  milliseconds max_backoff_ = 8000;     ///< Upper limit of that time.
+  std::size_t max_candidates_ = 2;      ///< Maximum number of daemons asked per request.
+  std::size_t max_grantors_ = 5;        ///< Maximum number of daemons eligible as grantors of one account;
+                                        ///< limits how many grant at once during a network partition.
 };
 
 /// Deterministic: depends only on the membership list, the recorded responses and the times passed in.
@@ -37,13 +37,13 @@
       -> std::vector<std::string>;
 
   /// Returns the primary grantor, responsive or not.
-  [[nodiscard]] auto first(const std::string& account) const -> std::string;
+  [[nodiscard]] auto primary(const std::string& account) const -> std::string;
 
   /// Records that a daemon did not respond.
-  auto note_silent(const std::string& vm, milliseconds now) -> void;
+  auto record_unresponsive(const std::string& vm, milliseconds now) -> void;
 
   /// Records a message from a daemon, which ends its backoff.
-  auto note_heard(const std::string& vm) -> void { silent_.erase(vm); }
+  auto record_seen(const std::string& vm) -> void { silent_.erase(vm); }
 
  private:
   struct silence {
--- a/birchlever/accounts/key_digest.cpp
+++ b/birchlever/accounts/key_digest.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-auto sha256_of(std::string_view text) -> std::string {
+auto sha256_hex(std::string_view text) -> std::string {
   auto digest = std::array<unsigned char, EVP_MAX_MD_SIZE>{};
   auto length = 0U;
   EVP_Digest(text.data(), text.size(), digest.data(), &length, EVP_sha256(), nullptr);
@@ -24,7 +24,7 @@
   return hexadecimal;
 }
 
-auto shown_digest(std::string_view digest) -> std::string {
+auto abbreviated_digest(std::string_view digest) -> std::string {
   return std::string{digest.substr(0, shown_letters)};
 }
 
--- a/birchlever/accounts/key_digest.h
+++ b/birchlever/accounts/key_digest.h
@@ -7,9 +7,9 @@
 namespace birchlever {
 
 /// Returns the SHA-256 digest of a text in hexadecimal.
-[[nodiscard]] auto sha256_of(std::string_view text) -> std::string;
+[[nodiscard]] auto sha256_hex(std::string_view text) -> std::string;
 
 /// Returns the leading digits of a digest, which identify a key in logs without revealing it.
-[[nodiscard]] auto shown_digest(std::string_view digest) -> std::string;
+[[nodiscard]] auto abbreviated_digest(std::string_view digest) -> std::string;
 
 }  // namespace birchlever
--- a/birchlever/accounts/program_size_estimate.cpp
+++ b/birchlever/accounts/program_size_estimate.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-auto program_size_estimate::note(bool begins, milliseconds now) -> void {
+auto program_size_estimate::record(bool begins, milliseconds now) -> void {
   auto passed = noted_at_ == 0 ? 0 : std::max<milliseconds>(now - noted_at_, 0);
   noted_at_ = now;
   auto kept = std::exp(-static_cast<double>(passed) / fade_ms);
@@ -19,7 +19,7 @@
   programs_ = programs_ * kept + (begins ? 1 : 0);
 }
 
-auto program_size_estimate::requests() const -> double {
+auto program_size_estimate::mean_requests() const -> double {
   return std::max(requests_ / std::max(programs_, 1.0), 1.0);
 }
 
--- a/birchlever/accounts/program_size_estimate.h
+++ b/birchlever/accounts/program_size_estimate.h
@@ -9,10 +9,10 @@
 class program_size_estimate {
  public:
   /// Records a request. `begins` is set for the first request of a program.
-  auto note(bool begins, milliseconds now) -> void;
+  auto record(bool begins, milliseconds now) -> void;
 
   /// Returns the mean number of requests per program, at least 1.
-  [[nodiscard]] auto requests() const -> double;
+  [[nodiscard]] auto mean_requests() const -> double;
 
  private:
   double requests_ = 100;  ///< Decaying counters; the initial values assume ten requests per program.
--- a/birchlever/accounts/reachable_share.cpp
+++ b/birchlever/accounts/reachable_share.cpp
@@ -11,15 +11,15 @@
 }  // namespace
 
 auto reachable_share(const peer_reachability& peers) -> double {
-  if (peers.living_ == 0 || peers.listening_ < peers.window_) {
+  if (peers.live_ == 0 || peers.receiving_for_ < peers.window_) {
     return 1;
   }
-  auto living = static_cast<double>(peers.living_);
-  auto told = std::min(1.0, static_cast<double>(peers.receivers_) / living);
-  auto messages =
-      static_cast<double>(peers.window_) / static_cast<double>(std::max<milliseconds>(peers.send_gap_, 1));
+  auto living = static_cast<double>(peers.live_);
+  auto told = std::min(1.0, static_cast<double>(peers.fanout_) / living);
+  auto messages = static_cast<double>(peers.window_) /
+                  static_cast<double>(std::max<milliseconds>(peers.send_interval_, 1));
   auto expected = living * (1 - std::pow(1 - told, messages));
-  auto heard = static_cast<double>(peers.heard_) / std::max(expected, 1.0);
+  auto heard = static_cast<double>(peers.seen_) / std::max(expected, 1.0);
   if (heard >= good_share) {
     return 1;
   }
--- a/birchlever/accounts/reachable_share.h
+++ b/birchlever/accounts/reachable_share.h
@@ -11,12 +11,12 @@
 
 /// Observations of a daemon about its peers.
 struct peer_reachability {
-  std::size_t living_ = 0;       ///< Peers not yet removed as unresponsive.
-  std::size_t heard_ = 0;        ///< Live peers seen within `window_`.
-  milliseconds window_ = 0;      ///< Observation window in ms.
-  milliseconds listening_ = 0;   ///< ms since this daemon started receiving messages.
-  milliseconds send_gap_ = 200;  ///< ms between two messages of a peer.
-  std::size_t receivers_ = 16;   ///< Randomly selected receivers of each message.
+  std::size_t live_ = 0;              ///< Peers not yet removed as unresponsive.
+  std::size_t seen_ = 0;              ///< Live peers seen within `window_`.
+  milliseconds window_ = 0;           ///< Observation window in ms.
+  milliseconds receiving_for_ = 0;    ///< ms since this daemon started receiving messages.
+  milliseconds send_interval_ = 200;  ///< ms between two messages of a peer.
+  std::size_t fanout_ = 16;           ///< Randomly selected receivers of each message.
 };
 
 /// Returns the reachable fraction of the fleet, 0 to 1; 1 without peers or before a full window has been
--- a/birchlever/controllers/central_grants.cpp
+++ b/birchlever/controllers/central_grants.cpp
@@ -11,7 +11,8 @@
 constexpr auto most_datagram = std::size_t{512};
 
 auto ask_of(const allotment_claim& wanted, std::uint64_t number) -> allotment_ask {
-  return {number, wanted.account_, wanted.begins_program_, wanted.program_requests_, wanted.program_ms_};
+  return {number, wanted.account_, wanted.starts_program_, wanted.expected_requests_,
+          wanted.expected_duration_};
 }
 
 auto claim_of(const allotment_ask& ask, const account_allotment& limit) -> allotment_claim {
@@ -148,7 +149,7 @@
   if (!limit || !limit->limited()) {
     return {ask.number_, false, {}};
   }
-  auto first = order_.first(ask.account_) == settings_.vm_;
+  auto first = order_.primary(ask.account_) == settings_.vm_;
   auto verdict = desk_.claim(claim_of(ask, *limit), share_(), first, ask.granted_alone_, clock_->now());
   if (verdict.granted_ && !first) {
     debits_[ask.account_] += 1;
@@ -162,7 +163,7 @@
     co_await pause_for(*loop_, settings_.debit_gap_);
     forget_answers();
     for (const auto& [account, tokens] : std::exchange(debits_, {})) {
-      auto first = members_.find(order_.first(account));
+      auto first = members_.find(order_.primary(account));
       if (first != members_.end()) {
         send(allotment_debit{account, tokens}, first->second);
       }
@@ -181,9 +182,9 @@
   }
   pending_.erase(ask.number_);
   if (waiting->answer_) {
-    order_.note_heard(vm);
+    order_.record_seen(vm);
   } else {
-    order_.note_silent(vm, clock_->now());
+    order_.record_unresponsive(vm, clock_->now());
   }
   co_return waiting->answer_;
 }
@@ -207,7 +208,7 @@
     auto& untold = granted_alone_[wanted.account_];
     untold = std::max(untold - ask.granted_alone_, 0.0);
     if (got->verdict_.granted_) {
-      fallback_.note_granted(wanted.account_);
+      fallback_.record_granted(wanted.account_);
     }
     co_return got->verdict_;
   }
--- a/birchlever/controllers/central_grants.h
+++ b/birchlever/controllers/central_grants.h
@@ -62,7 +62,7 @@
   auto set_members(member_map members) -> void;
 
   /// A daemon was heard of, so it is asked again.
-  auto note_heard(const std::string& vm) -> void { order_.note_heard(vm); }
+  auto note_heard(const std::string& vm) -> void { order_.record_seen(vm); }
 
   /// Requests that equal shares had to judge since no grantor answered.
   [[nodiscard]] auto unanswered() const -> std::int64_t { return unanswered_; }
--- a/birchlever/coordination/fleet_configuration.cpp
+++ b/birchlever/coordination/fleet_configuration.cpp
@@ -109,7 +109,7 @@
 }
 
 auto fleet_configuration::account_of(const std::string& key) const -> std::string {
-  const auto* holder = book_ ? book_->holder_of(sha256_of(key)) : nullptr;
+  const auto* holder = book_ ? book_->find_by_key_digest(sha256_hex(key)) : nullptr;
   return holder == nullptr ? std::string{} : holder->name_;
 }
 
--- a/birchlever/gateway/account_filter.cpp
+++ b/birchlever/gateway/account_filter.cpp
@@ -19,7 +19,7 @@
 
 auto holder_of(const gateway_request& request) -> const client_account* {
   const auto& digest = request.facts_.key_digest_;
-  return digest.empty() ? nullptr : request.configuration_->accounts_->holder_of(digest);
+  return digest.empty() ? nullptr : request.configuration_->accounts_->find_by_key_digest(digest);
 }
 
 }  // namespace
@@ -47,7 +47,7 @@
   if (!renewed) {
     co_return error{error_code::configuration_stale,
                     "what is known here of client accounts is too old to judge key " +
-                        shown_digest(request.facts_.key_digest_),
+                        abbreviated_digest(request.facts_.key_digest_),
                     ran_state::not_run, context_->trust_.retry_ms_};
   }
   request.configuration_ = context_->configuration_;
@@ -66,7 +66,7 @@
   if (digest.empty()) {
     return error{error_code::unauthenticated, "the request carries no key of a client account"};
   }
-  return error{error_code::unauthenticated, "no client account holds key " + shown_digest(digest)};
+  return error{error_code::unauthenticated, "no client account holds key " + abbreviated_digest(digest)};
 }
 
 auto account_filter::apply(gateway_request& request, next_filter next) -> task<> {
--- a/birchlever/gateway/allotment_filter.cpp
+++ b/birchlever/gateway/allotment_filter.cpp
@@ -21,11 +21,11 @@
   auto wanted = allotment_claim{};
   wanted.account_ = request.account_->name_;
   wanted.allotment_ = request.account_->allotment_;
-  wanted.begins_program_ = begins;
+  wanted.starts_program_ = begins;
   if (begins && !request.facts_.program_.empty()) {
     auto aim = request.facts_.program_time_left_;
-    wanted.program_requests_ = sizes_.requests();
-    wanted.program_ms_ = aim ? *aim / aim_over_duration : usual_program_ms;
+    wanted.expected_requests_ = sizes_.mean_requests();
+    wanted.expected_duration_ = aim ? *aim / aim_over_duration : usual_program_ms;
   }
   return wanted;
 }
@@ -40,7 +40,7 @@
   auto wanted = claim_of(request, begins);
   auto verdict = co_await context_->allotments_->claim(std::move(wanted));
   if (verdict.granted_ && !request.facts_.program_.empty()) {
-    sizes_.note(begins, began);
+    sizes_.record(begins, began);
   }
   if (verdict.granted_ && verdict.wait_ > 0) {
     co_await pause_for(*context_->loop_, verdict.wait_);
--- a/birchlever/gateway/gateway_server.cpp
+++ b/birchlever/gateway/gateway_server.cpp
@@ -84,7 +84,7 @@
   co_await run_filters(0, request);
   --context_->under_way_;
   if (request.account_ != nullptr) {
-    context_->usage_.note(request.account_->name_, request.final_status_);
+    context_->usage_.record(request.account_->name_, request.final_status_);
   }
   auto held = context_->clock_.now() - request.received_at_;
   context_->metrics_->observe("request_ms", static_cast<double>(held));
--- a/birchlever/operators/configuration_editor.cpp
+++ b/birchlever/operators/configuration_editor.cpp
@@ -109,13 +109,13 @@
   if (command.number_ < 0) {
     return invalid("a limit must be at least 1");
   }
-  if (!command.target_.empty() && held_by_another(edited, command.name_, sha256_of(command.target_))) {
+  if (!command.target_.empty() && held_by_another(edited, command.name_, sha256_hex(command.target_))) {
     return invalid("another account holds this key");
   }
   auto& account = edited.accounts_[command.name_];
   account.name_ = command.name_;
   if (!command.target_.empty()) {
-    account.key_digests_ = {sha256_of(command.target_)};
+    account.key_digests_ = {sha256_hex(command.target_)};
   }
   if (command.number_ > 0) {
     account.max_in_flight_ = command.number_;
--- a/birchlever_daemon/gateway_daemon_peers.cpp
+++ b/birchlever_daemon/gateway_daemon_peers.cpp
@@ -111,12 +111,12 @@
 
 auto gateway_daemon::allotment_share() const -> double {
   auto heard = peer_reachability{};
-  heard.living_ = peers_->views().heard_within(peer_gone_after);
+  heard.live_ = peers_->views().heard_within(peer_gone_after);
   heard.window_ = allotment_hearing;
-  heard.heard_ = peers_->views().heard_within(allotment_hearing);
-  heard.listening_ = context_->clock_.now() - joined_at_;
-  heard.send_gap_ = peers_->settings().send_gap_;
-  heard.receivers_ = static_cast<std::size_t>(peers_->settings().most_receivers_);
+  heard.seen_ = peers_->views().heard_within(allotment_hearing);
+  heard.receiving_for_ = context_->clock_.now() - joined_at_;
+  heard.send_interval_ = peers_->settings().send_gap_;
+  heard.fanout_ = static_cast<std::size_t>(peers_->settings().most_receivers_);
   return reachable_share(heard);
 }
 
--- a/fleet_model/allotment_model.cpp
+++ b/fleet_model/allotment_model.cpp
@@ -151,7 +151,7 @@
     auto wanted = allotment_claim{account_name, limit_, program->sent_ == 0, load_.program_requests_,
                                   static_cast<milliseconds>(load_.program_requests_ * load_.request_gap_ms_)};
     if (way_ == allotment_way::scattered) {
-      wanted.begins_program_ = false;
+      wanted.starts_program_ = false;
     }
     claim(program->daemon_, wanted, [this, program](allotment_decision verdict) { take(program, verdict); });
   }
@@ -173,7 +173,7 @@
 
   auto ran(const program_pointer& program) -> void {
     ran_at_.push_back(events_.now_ms());
-    allowed_.push_back(limit_.most_in(window_ms / ms_per_second) * rule_overage + rule_tolerance);
+    allowed_.push_back(limit_.max_requests_in(window_ms / ms_per_second) * rule_overage + rule_tolerance);
     if (++program->sent_ == program->requests_) {
       ++outcome_.completed_;
       auto unhindered = program->requests_ * load_.request_gap_ms_;
@@ -195,17 +195,17 @@
 
   auto share_of(std::size_t index) const -> double {
     auto heard = peer_reachability{};
-    heard.living_ = daemons_.size() - 1;
+    heard.live_ = daemons_.size() - 1;
     heard.window_ = static_cast<milliseconds>(hearing_ms);
     auto listening = events_.now_ms() - load_.kill_at_ms_ - load_.kill_pause_ms_;
-    heard.listening_ =
+    heard.receiving_for_ =
         load_.kill_share_ > 0 && listening > 0 ? static_cast<milliseconds>(listening) : heard.window_;
     auto known_cut = events_.now_ms() - load_.cut_from_ms_ >= hearing_ms;
     auto known_dead = events_.now_ms() - load_.kill_at_ms_ >= hearing_ms;
     for (auto other = std::size_t{0}; other < daemons_.size(); ++other) {
       auto lost = (known_cut && (daemons_[other]->cut_ || daemons_[index]->cut_)) ||
                   (known_dead && !daemons_[other]->alive_);
-      heard.heard_ += other == index || lost ? 0 : 1;
+      heard.seen_ += other == index || lost ? 0 : 1;
     }
     return reachable_share(heard);
   }
@@ -213,7 +213,7 @@
   auto decide(std::size_t asker, std::size_t grantor, const allotment_claim& wanted) -> allotment_decision {
     auto& daemon = *daemons_[grantor];
     auto alone = std::exchange(daemons_[asker]->granted_alone_, 0);
-    auto first = index_of(daemon.order_.first(account_name));
+    auto first = index_of(daemon.order_.primary(account_name));
     auto verdict = daemon.desk_.claim(wanted, share_of(grantor), first == grantor, alone, now());
     if (verdict.granted_ && first != grantor && reached(grantor, first)) {
       events_.after(static_cast<double>(settings_.debit_gap_),
@@ -263,14 +263,14 @@
         ask(daemon, candidates, next, tries + 1, wanted, done);
         return;
       }
-      daemons_[daemon]->order_.note_silent(candidates[next], now());
+      daemons_[daemon]->order_.record_unresponsive(candidates[next], now());
       ask(daemon, candidates, next + 1, 0, wanted, done);
     });
   }
 
   auto answer(std::size_t daemon, allotment_decision verdict, const verdict_function& done) -> void {
     if (verdict.granted_) {
-      daemons_[daemon]->shares_.note_granted(account_name);
+      daemons_[daemon]->shares_.record_granted(account_name);
     }
     done(verdict);
   }
@@ -300,7 +300,7 @@
       daemon.shares_ = equal_shares{share_settings(), count_all, events_.clock()};
       daemon.alive_ = true;
       for (auto& other : daemons_) {
-        other->order_.note_heard(daemon.vm_);
+        other->order_.record_seen(daemon.vm_);
       }
     }
   }
@@ -327,7 +327,7 @@
     auto hot = static_cast<double>(std::count_if(wanted_at_.begin(), wanted_at_.end(), [&](double at) {
       return at >= load_.hot_from_ms_ && at < hot_end;
     }));
-    auto room = load_.allotment_.most_in(load_.hot_for_ms_ / ms_per_second) / load_.program_requests_;
+    auto room = load_.allotment_.max_requests_in(load_.hot_for_ms_ / ms_per_second) / load_.program_requests_;
     outcome_.owed_ = static_cast<double>(outcome_.programs_) - hot + std::min(hot, room);
     outcome_.asks_per_s_ = static_cast<double>(asks_) * ms_per_second / load_.duration_ms_;
     return outcome_;
--- a/unit_tests/accounts/account_registry_test.cpp
+++ b/unit_tests/accounts/account_registry_test.cpp
@@ -12,7 +12,7 @@
   auto made = client_account{};
   made.name_ = name;
   for (const auto& key : keys) {
-    made.key_digests_.push_back(sha256_of(key));
+    made.key_digests_.push_back(sha256_hex(key));
   }
   return made;
 }
@@ -29,11 +29,11 @@
   auto made = account_registry::create({account("notary", {"key-1", "key-2"}), account("survey", {"key-3"})});
   REQUIRE(ok(made));
   const auto& book = *value(made);
-  CHECK(book.holder_of(sha256_of("key-2"))->name_ == "notary");
-  CHECK(book.holder_of(sha256_of("key-3"))->name_ == "survey");
-  CHECK(book.holder_of(sha256_of("key-4")) == nullptr);
-  CHECK(book.holder_of("key-1") == nullptr);
-  CHECK(book.holder_of("") == nullptr);
+  CHECK(book.find_by_key_digest(sha256_hex("key-2"))->name_ == "notary");
+  CHECK(book.find_by_key_digest(sha256_hex("key-3"))->name_ == "survey");
+  CHECK(book.find_by_key_digest(sha256_hex("key-4")) == nullptr);
+  CHECK(book.find_by_key_digest("key-1") == nullptr);
+  CHECK(book.find_by_key_digest("") == nullptr);
   CHECK(book.find("survey") != nullptr);
   CHECK(book.find("nobody") == nullptr);
 }
@@ -49,8 +49,8 @@
   auto shared = refusal_of({account("a", {"secret-key"}), account("b", {"secret-key"})});
   CHECK(shared.code_ == error_code::invalid_account);
   CHECK(shared.detail_.find("secret-key") == std::string::npos);
-  CHECK(shared.detail_.find(sha256_of("secret-key")) == std::string::npos);
-  CHECK(shared.detail_.find(shown_digest(sha256_of("secret-key"))) != std::string::npos);
+  CHECK(shared.detail_.find(sha256_hex("secret-key")) == std::string::npos);
+  CHECK(shared.detail_.find(abbreviated_digest(sha256_hex("secret-key"))) != std::string::npos);
 }
 
 TEST_CASE("one account may list a key twice") {
@@ -58,7 +58,7 @@
 }
 
 TEST_CASE("an allotment holds its rate over a span and its burst once; no rate means no limit") {
-  CHECK(account_allotment{10, 5}.most_in(5) == Approx(55));
+  CHECK(account_allotment{10, 5}.max_requests_in(5) == Approx(55));
   CHECK(account_allotment{10, 0}.limited());
   CHECK(!account_allotment{0, 50}.limited());
 }
--- a/unit_tests/accounts/allotment_test.cpp
+++ b/unit_tests/accounts/allotment_test.cpp
@@ -35,7 +35,7 @@
     auto count = std::count_if(granted_at.begin(), granted_at.end(), [&](milliseconds at) {
       return at >= granted_at[from] && at < granted_at[from] + 5000;
     });
-    REQUIRE(static_cast<double>(count) <= limit.most_in(5) + 1);
+    REQUIRE(static_cast<double>(count) <= limit.max_requests_in(5) + 1);
   }
   CHECK(granted_at.size() > 190);  // And it grants what there is.
 }
@@ -140,19 +140,19 @@
   auto two = order_of("vm-2", {"vm-1", "vm-3"});
   auto best = one.candidates("a", 0);
   CHECK(best == two.candidates("a", 0));
-  CHECK(best.front() == one.first("a"));
+  CHECK(best.front() == one.primary("a"));
   CHECK(one.size() == 3);
   auto third = order_of("vm-0", {"vm-1", "vm-2", "vm-3"});
   auto asked = third.candidates("a", 0).front();
   if (asked != "vm-0") {
-    third.note_silent(asked, 0);
+    third.record_unresponsive(asked, 0);
     CHECK(third.candidates("a", 100).front() != asked);
     CHECK(third.candidates("a", 500).front() == asked);
-    third.note_silent(asked, 500);
+    third.record_unresponsive(asked, 500);
     CHECK(third.candidates("a", 1400).front() != asked);  // Twice as long.
-    third.note_heard(asked);
+    third.record_seen(asked);
     CHECK(third.candidates("a", 1400).front() == asked);
-    CHECK(third.first("a") == asked);
+    CHECK(third.primary("a") == asked);
   }
 }
 
@@ -161,7 +161,7 @@
   order.set_members({"vm-1", "vm-2", "vm-3"});
   auto granted_by = std::map<std::string, int>{};
   for (auto number = 0; number < 1200; ++number) {
-    ++granted_by[order.first("account-" + std::to_string(number))];
+    ++granted_by[order.primary("account-" + std::to_string(number))];
   }
   for (const auto& [vm, count] : granted_by) {
     CHECK(count > 230);
@@ -187,16 +187,16 @@
   for (auto program = 0; program < 400; ++program) {
     for (auto request = 0; request < 20; ++request) {
       now += 50;
-      sizes.note(request == 0, now);
+      sizes.record(request == 0, now);
     }
   }
-  CHECK(sizes.requests() > 18);
-  CHECK(sizes.requests() < 21);
+  CHECK(sizes.mean_requests() > 18);
+  CHECK(sizes.mean_requests() < 21);
   for (auto program = 0; program < 40000; ++program) {
     now += 50;
-    sizes.note(true, now);
+    sizes.record(true, now);
   }
-  CHECK(sizes.requests() == Approx(1).margin(0.05));
+  CHECK(sizes.mean_requests() == Approx(1).margin(0.05));
 }
 
 }  // namespace birchlever
--- a/unit_tests/controllers/central_grants_test.cpp
+++ b/unit_tests/controllers/central_grants_test.cpp
@@ -88,7 +88,7 @@
   }
   auto passed = static_cast<double>(clock.now() - began) / 1000;
   CHECK(granted >= 5);
-  auto longest_wait = static_cast<double>(allotment_bucket_settings{}.longest_wait_) / 1000;
+  auto longest_wait = static_cast<double>(allotment_bucket_settings{}.max_wait_) / 1000;
   CHECK(granted <= 5 + fleet.limit_.rate_per_s_ * (passed + longest_wait) + 1);
 }
 
@@ -97,7 +97,7 @@
   auto order = grantor_order{grantor_order_settings{vm(0)}};
   order.set_members({vm(1), vm(2)});
   auto account = std::string{"account-0"};
-  for (auto number = 1; order.first(account) != vm(2); ++number) {
+  for (auto number = 1; order.primary(account) != vm(2); ++number) {
     account = "account-" + std::to_string(number);
   }
   REQUIRE(fleet.claim(0, account).granted_);
--- a/unit_tests/coordination/configuration_test.cpp
+++ b/unit_tests/coordination/configuration_test.cpp
@@ -93,7 +93,7 @@
 
 TEST_CASE("a configuration survives being written and read, and others are refused") {
   auto configuration = fleet_configuration{};
-  configuration.accounts_["notary"] = {"notary", {sha256_of("key")}, std::nullopt, {}, 7};
+  configuration.accounts_["notary"] = {"notary", {sha256_hex("key")}, std::nullopt, {}, 7};
   configuration.drained_halls_ = {"canelones"};
   configuration.pinned_shards_[4] = "daemon-2";
   auto parsed = fleet_configuration::parse(configuration.to_text());
--- a/unit_tests/gateway/account_test.cpp
+++ b/unit_tests/gateway/account_test.cpp
@@ -13,7 +13,7 @@
 auto account(const std::string& name, const std::string& key) -> client_account {
   auto made = client_account{};
   made.name_ = name;
-  made.key_digests_ = {sha256_of(key)};
+  made.key_digests_ = {sha256_hex(key)};
   return made;
 }
 
--- a/unit_tests/platform/decode_test.cpp
+++ b/unit_tests/platform/decode_test.cpp
@@ -65,7 +65,7 @@
                           {"name":"free","api_keys":[]}])");
   REQUIRE(ok(decoded));
   REQUIRE(value(decoded).routes_[0].public_);
-  const auto* account = value(decoded).accounts_->holder_of(sha256_of("k2"));
+  const auto* account = value(decoded).accounts_->find_by_key_digest(sha256_hex("k2"));
   REQUIRE(account != nullptr);
   CHECK(account->name_ == "n");
   CHECK(account->rank_ == 1);
