--- a/birchlever/controllers/control_controller.cpp
+++ b/birchlever/controllers/control_controller.cpp
@@ -6,7 +6,7 @@
 #include "birchlever/controllers/fleet_view.h"
 #include "birchlever/controllers/owner_gateway.h"
 #include "birchlever/coordination/versioned_configuration.h"
-#include "birchlever/policy/policy_book.h"
+#include "birchlever/policy/policy_registry.h"
 #include "birchlever/telemetry/log.h"
 #include "birchlever/telemetry/metrics.h"
 #include "birchlever/upstream/upstream_table.h"
--- a/birchlever/controllers/daemon_context.h
+++ b/birchlever/controllers/daemon_context.h
@@ -13,7 +13,7 @@
 class fleet_view;
 class http_connection_pool;
 class metrics;
-class policy_book;
+class policy_registry;
 class policy_comparison;
 class table_store_interface;
 class trace_recorder;
@@ -33,7 +33,7 @@
   std::shared_ptr<versioned_configuration> configuration_;
   std::shared_ptr<fleet_view> fleet_;
   std::shared_ptr<upstream_table> upstreams_;
-  std::shared_ptr<policy_book> policies_;
+  std::shared_ptr<policy_registry> policies_;
   std::shared_ptr<policy_comparison> comparison_;
   std::shared_ptr<metrics> metrics_;
   std::shared_ptr<trace_recorder> traces_;
--- a/birchlever/controllers/shard_placement.cpp
+++ b/birchlever/controllers/shard_placement.cpp
@@ -4,7 +4,7 @@
 #include <nlohmann/json.hpp>
 
 #include "birchlever/controllers/daemon_context.h"
-#include "birchlever/policy/policy_book.h"
+#include "birchlever/policy/policy_registry.h"
 #include "birchlever/storage/table_store_interface.h"
 #include "birchlever/telemetry/policy_comparison.h"
 #include "birchlever/upstream/upstream_table.h"
--- a/birchlever/gateway/gateway_context.h
+++ b/birchlever/gateway/gateway_context.h
@@ -14,7 +14,7 @@
 class configuration_freshness;
 class connection_pool;
 class metrics;
-class policy_book;
+class policy_registry;
 class program_store;
 class upstream_directory;
 
@@ -47,7 +47,7 @@
   std::shared_ptr<connection_pool> upstream_connections_;
   std::shared_ptr<upstream_directory> upstreams_;
   std::shared_ptr<program_store> programs_;
-  std::shared_ptr<policy_book> policies_;
+  std::shared_ptr<policy_registry> policies_;
   std::shared_ptr<metrics> metrics_;
   std::shared_ptr<const serving_configuration> configuration_;  ///< None until the first was read.
   std::string engine_policy_;                                   ///< Name of the policy that chooses engines.
--- a/birchlever/gateway/upstream_dispatch.cpp
+++ b/birchlever/gateway/upstream_dispatch.cpp
@@ -1,7 +1,7 @@
 #include "birchlever/gateway/upstream_dispatch.h"
 
 #include "birchlever/core/hashing.h"
-#include "birchlever/policy/policy_book.h"
+#include "birchlever/policy/policy_registry.h"
 #include "birchlever/telemetry/log.h"
 #include "birchlever/telemetry/metrics.h"
 
--- a/birchlever/policy/policy_book.cpp
+++ b/birchlever/policy/policy_registry.cpp
@@ -1,11 +1,11 @@
-#include "birchlever/policy/policy_book.h"
+#include "birchlever/policy/policy_registry.h"
 
 namespace birchlever {
 
-policy_book::policy_book() : standard_{value(make_policy(policy_settings{}))} {}
+policy_registry::policy_registry() : default_{value(make_policy(policy_settings{}))} {}
 
-auto policy_book::load(const std::map<std::string, policy_settings>& policies,
-                       const std::vector<std::string>& shadows) -> void {
+auto policy_registry::load(const std::map<std::string, policy_settings>& policies,
+                           const std::vector<std::string>& shadows) -> void {
   auto made = std::map<std::string, std::shared_ptr<const policy_interface>>{};
   for (const auto& [name, settings] : policies) {
     auto policy = make_policy(settings);
@@ -18,13 +18,13 @@
   shadows_ = shadows;
 }
 
-auto policy_book::find(const std::string& name) const -> std::shared_ptr<const policy_interface> {
+auto policy_registry::find(const std::string& name) const -> std::shared_ptr<const policy_interface> {
   auto lock = std::lock_guard{mutex_};
   auto found = policies_.find(name);
-  return found == policies_.end() ? standard_ : found->second;
+  return found == policies_.end() ? default_ : found->second;
 }
 
-auto policy_book::shadows() const
+auto policy_registry::shadows() const
     -> std::vector<std::pair<std::string, std::shared_ptr<const policy_interface>>> {
   auto lock = std::lock_guard{mutex_};
   auto list = std::vector<std::pair<std::string, std::shared_ptr<const policy_interface>>>{};
--- a/birchlever/policy/policy_book.h
+++ b/birchlever/policy/policy_registry.h
@@ -14,9 +14,9 @@
 
 /// Thread-safe. Unknown names resolve to the default policy, so that programs whose policy was removed keep
 /// running.
-class policy_book {
+class policy_registry {
  public:
-  policy_book();
+  policy_registry();
 
   /// Replaces all policies. Shadow policies are evaluated for comparison; their decisions are not applied.
   auto load(const std::map<std::string, policy_settings>& policies, const std::vector<std::string>& shadows)
@@ -30,7 +30,7 @@
 
  private:
   mutable std::mutex mutex_;
-  std::shared_ptr<const policy_interface> standard_;
+  std::shared_ptr<const policy_interface> default_;
   std::map<std::string, std::shared_ptr<const policy_interface>> policies_;
   std::vector<std::string> shadows_;
 };
--- a/birchlever/policy/policy_settings.cpp
+++ b/birchlever/policy/policy_settings.cpp
@@ -76,7 +76,7 @@
   }
   for (const auto& known : parameters_of(kind_)) {
     if (known.name_ == name) {
-      return known.standard_;
+      return known.default_;
     }
   }
   return 0;
@@ -92,8 +92,8 @@
         continue;
       }
       auto range = std::ostringstream{};
-      range << "must be from " << parameter.least_ << " to " << parameter.most_;
-      fault = number >= parameter.least_ && number <= parameter.most_ ? "" : range.str();
+      range << "must be from " << parameter.min_ << " to " << parameter.max_;
+      fault = number >= parameter.min_ && number <= parameter.max_ ? "" : range.str();
     }
     if (!fault.empty()) {
       faults << (faults.tellp() > 0 ? "; " : "") << name << ' ' << fault;
--- a/birchlever/policy/policy_settings.h
+++ b/birchlever/policy/policy_settings.h
@@ -25,9 +25,9 @@
 /// Describes a policy parameter: name, default, valid range and purpose.
 struct policy_parameter {
   std::string_view name_;
-  double standard_ = 0;
-  double least_ = 0;
-  double most_ = 0;
+  double default_ = 0;
+  double min_ = 0;
+  double max_ = 0;
   std::string_view purpose_;
 };
 
--- a/birchlever_daemon/daemon.cpp
+++ b/birchlever_daemon/daemon.cpp
@@ -17,7 +17,7 @@
 #include "birchlever/core/test_switches.h"
 #include "birchlever/filters/caller_server.h"
 #include "birchlever/operators/operator_console.h"
-#include "birchlever/policy/policy_book.h"
+#include "birchlever/policy/policy_registry.h"
 #include "birchlever/rpc/peer_client_pool.h"
 #include "birchlever/rpc/peer_server.h"
 #include "birchlever/storage/http_table_store.h"
@@ -72,7 +72,7 @@
   made->configuration_ = value(configuration);
   made->fleet_ = std::make_shared<fleet_view>(static_cast<int>(settings.shard_count_));
   made->upstreams_ = std::make_shared<upstream_table>();
-  made->policies_ = std::make_shared<policy_book>();
+  made->policies_ = std::make_shared<policy_registry>();
   made->comparison_ = std::make_shared<policy_comparison>();
   made->metrics_ = std::make_shared<metrics>();
   made->traces_ = std::make_shared<trace_recorder>("birchlever-" + made->daemon_id_);
--- a/birchlever_daemon/gateway_daemon.cpp
+++ b/birchlever_daemon/gateway_daemon.cpp
@@ -11,7 +11,7 @@
 #include "birchlever/core/hashing.h"
 #include "birchlever/gateway/configuration_freshness.h"
 #include "birchlever/http/connection_pool.h"
-#include "birchlever/policy/policy_book.h"
+#include "birchlever/policy/policy_registry.h"
 #include "birchlever/telemetry/log.h"
 #include "birchlever/telemetry/metrics.h"
 #include "birchlever_daemon/gateway_flags.h"
@@ -104,7 +104,7 @@
   });
   context_->programs_ = value(programs);
   watch_freshness();
-  context_->policies_ = std::make_shared<policy_book>();
+  context_->policies_ = std::make_shared<policy_registry>();
   context_->metrics_ = std::make_shared<metrics>();
   context_->engine_policy_ = engine_policy_name;
   context_->service_policy_ = service_policy_name;
--- a/unit_tests/gateway/gateway_fixture.cpp
+++ b/unit_tests/gateway/gateway_fixture.cpp
@@ -61,7 +61,7 @@
   auto programs = program_store::create(loop_, rows_, {});
   REQUIRE(ok(programs));
   context_->programs_ = value(programs);
-  context_->policies_ = std::make_shared<policy_book>();
+  context_->policies_ = std::make_shared<policy_registry>();
   context_->metrics_ = std::make_shared<metrics>();
   context_->engine_policy_ = "engines";
   context_->service_policy_ = "services";
--- a/unit_tests/gateway/gateway_fixture.h
+++ b/unit_tests/gateway/gateway_fixture.h
@@ -13,7 +13,7 @@
 #include "birchlever/gateway/gateway_server.h"
 #include "birchlever/http/connection_pool.h"
 #include "birchlever/http/http_listener.h"
-#include "birchlever/policy/policy_book.h"
+#include "birchlever/policy/policy_registry.h"
 #include "birchlever/storage/memory_row_store.h"
 #include "birchlever/telemetry/metrics.h"
 #include "birchlever/upstream/upstream_directory.h"
