--- a/birchlever/controllers/peer_exchange.cpp
+++ b/birchlever/controllers/peer_exchange.cpp
@@ -79,7 +79,7 @@
   }
 }
 
-auto peer_exchange::tell(const upstream_news& news) -> void {
+auto peer_exchange::tell(const upstream_health_report& news) -> void {
   untold_.push_back(news);
   if (untold_.size() == 1) {
     start(*loop_, "peer_news", send_news());
--- a/birchlever/controllers/peer_exchange.h
+++ b/birchlever/controllers/peer_exchange.h
@@ -55,7 +55,7 @@
   [[nodiscard]] auto views() const -> const peer_views& { return views_; }
 
   /// Called with a peer's VM and what it learned of an upstream.
-  using news_function = std::function<void(const std::string&, const upstream_news&)>;
+  using news_function = std::function<void(const std::string&, const upstream_health_report&)>;
   auto on_news(news_function callback) -> void { on_news_ = std::move(callback); }
 
   /// Called with all other listed daemons, by VM, each time that the list was read.
@@ -67,7 +67,7 @@
   auto on_heard(heard_function callback) -> void { on_heard_ = std::move(callback); }
 
   /// Tells peers soon what this daemon learned.
-  auto tell(const upstream_news& news) -> void;
+  auto tell(const upstream_health_report& news) -> void;
 
   /// Peers that the store lists.
   [[nodiscard]] auto listed_peers() const -> std::size_t { return receivers_.size(); }
@@ -99,7 +99,7 @@
   std::mt19937 random_;
   std::vector<asio::ip::udp::endpoint> receivers_;
   std::set<asio::ip::udp::endpoint> known_;  ///< The same, to be looked up.
-  std::vector<upstream_news> untold_;
+  std::vector<upstream_health_report> untold_;
   milliseconds told_at_ = 0;
   bool list_known_ = false;
   news_function on_news_;
--- a/birchlever/controllers/peer_state.h
+++ b/birchlever/controllers/peer_state.h
@@ -30,8 +30,8 @@
   std::string control_address_;         ///< Where it relays calls to the store, "ip:port".
   std::map<std::string, int> running_;  ///< Requests at each upstream.
   std::uint64_t allowance_ranges_ = 0;  ///< The ranges of allowances that it holds, a bit each.
-  std::vector<upstream_news> news_;  ///< What it just learned of upstreams: then nothing else is told. Empty
-                                     ///< in regular messages.
+  std::vector<upstream_health_report> news_;  ///< What it just learned of upstreams: then nothing else is
+                                              ///< told. Empty in regular messages.
   bool follows_ = false;  ///< Looks at the table of upstreams itself, and tells others what changes there.
   std::string region_;    ///< Where it stands; empty where regions are not told apart.
   double cores_ = 0;      ///< Its share of a processor core; 0: not told.
--- a/birchlever/controllers/shard_controller.h
+++ b/birchlever/controllers/shard_controller.h
@@ -105,7 +105,7 @@
   std::multimap<std::string, waiting_call> waiting_;
   std::map<std::string, std::vector<open_promise>> resolving_;
   std::map<std::string, issued_ticket> tickets_;  ///< By request id, while they may be asked for again.
-  std::map<std::string, placed> explanations_;    ///< Newest choice per program.
+  std::map<std::string, placement_result> explanations_;  ///< Newest choice per program.
   milliseconds swept_at_ = 0;
   bool sweep_now_ = false;
 };
--- a/birchlever/controllers/shard_placement.cpp
+++ b/birchlever/controllers/shard_placement.cpp
@@ -14,8 +14,8 @@
 
 using nlohmann::json;
 
-auto wish_of(const open_request& request, const program& owner) -> placement {
-  auto wish = placement{};
+auto wish_of(const open_request& request, const program& owner) -> placement_request {
+  auto wish = placement_request{};
   auto& call = wish.call_;
   call.program_ = owner.id_;
   call.model_ = request.model_;
@@ -34,8 +34,8 @@
   return wish;
 }
 
-auto ask_shadows(daemon_context& context, const placement& wish, const std::string& chosen, milliseconds now)
-    -> void {
+auto ask_shadows(daemon_context& context, const placement_request& wish, const std::string& chosen,
+                 milliseconds now) -> void {
   for (const auto& [name, policy] : context.policies_->shadows()) {
     auto shadow = context.upstreams_->choose(*policy, wish, now);
     auto agrees = ok(shadow) && value(shadow).upstream_.id_ == chosen;
@@ -73,19 +73,19 @@
   return made;
 }
 
-auto explain(const std::string& policy, const placed& choice) -> std::string {
+auto explain(const std::string& policy, const placement_result& choice) -> std::string {
   auto rows = json::array();
-  for (const auto& one : choice.explained_) {
+  for (const auto& one : choice.top_candidates_) {
     rows.push_back({{"engine", one.engine_},
-                    {"cost", one.terms_.cost_},
-                    {"wait_ms", one.terms_.wait_ms_},
-                    {"compute_ms", one.terms_.compute_ms_},
-                    {"waste_ms", one.terms_.waste_ms_}});
+                    {"cost", one.cost_terms_.cost_},
+                    {"wait_ms", one.cost_terms_.wait_ms_},
+                    {"compute_ms", one.cost_terms_.compute_ms_},
+                    {"waste_ms", one.cost_terms_.waste_ms_}});
   }
   return json{{"policy", policy},
               {"choice", choice.upstream_.id_},
               {"priority", choice.priority_},
-              {"weighed", choice.weighed_},
+              {"weighed", choice.candidate_count_},
               {"candidates", std::move(rows)}}
       .dump();
 }
--- a/birchlever/controllers/shard_placement.h
+++ b/birchlever/controllers/shard_placement.h
@@ -14,11 +14,11 @@
 /// A placed call and why it was placed so.
 struct placed_call {
   dispatch_ticket ticket_;
-  placed choice_;
+  placement_result choice_;
 };
 
 /// A choice as JSON: the best candidates with their terms, and which was taken.
-[[nodiscard]] auto explain(const std::string& policy, const placed& choice) -> std::string;
+[[nodiscard]] auto explain(const std::string& policy, const placement_result& choice) -> std::string;
 
 /// Asks the program's policy for an upstream, and the shadow policies beside it.
 [[nodiscard]] auto place_call(daemon_context& context, const open_request& request, const program& owner)
--- a/birchlever/gateway/upstream_dispatch.cpp
+++ b/birchlever/gateway/upstream_dispatch.cpp
@@ -17,26 +17,25 @@
 
 /// An upstream's own failure counts like a lost answer: its health check may be good all the same. Time that
 /// ran out here does not: it tells of load, and avoiding loaded upstreams would load the others.
-auto evidence_of(offer_outcome outcome, const gateway_request& request) -> upstream_evidence {
+auto evidence_of(offer_outcome outcome, const gateway_request& request) -> upstream_outcome {
   switch (outcome) {
     case offer_outcome::refused_full:
-      return upstream_evidence::full;
+      return upstream_outcome::full;
     case offer_outcome::not_reached:
     case offer_outcome::refused:
     case offer_outcome::unknown:
-      return upstream_evidence::failed;
+      return upstream_outcome::failed;
     case offer_outcome::out_of_time:  // The caller may have had little time; an upstream that hangs shows as
                                       // silent.
-      return upstream_evidence::none;
+      return upstream_outcome::none;
     case offer_outcome::broken_off:
-      return request.relayed_.upstream_broke_off_ ? upstream_evidence::failed : upstream_evidence::none;
+      return request.relayed_.upstream_broke_off_ ? upstream_outcome::failed : upstream_outcome::none;
     case offer_outcome::caller_gone:
-      return upstream_evidence::none;
+      return upstream_outcome::none;
     case offer_outcome::relayed:
       break;
   }
-  return request.final_status_ >= first_failure_status ? upstream_evidence::failed
-                                                       : upstream_evidence::served;
+  return request.final_status_ >= first_failure_status ? upstream_outcome::failed : upstream_outcome::served;
 }
 
 /// True for requests that may run more than once, in parts that follow each other in the case of streams.
@@ -46,24 +45,24 @@
 
 }  // namespace
 
-auto upstream_dispatch::wish_of(const gateway_request& request) const -> upstream_wish {
-  auto wish = upstream_wish{};
+auto upstream_dispatch::wish_of(const gateway_request& request) const -> upstream_criteria {
+  auto wish = upstream_criteria{};
   wish.service_ = request.service_;
   wish.model_ = request.facts_.model_;
   wish.prompt_tokens_ = request.facts_.prompt_tokens_;
-  wish.most_tokens_ = request.facts_.most_tokens_;
+  wish.max_tokens_ = request.facts_.most_tokens_;
   wish.parts_ = request.facts_.parts_;
   wish.program_ = request.facts_.program_;
   wish.last_upstream_ = request.last_upstream_;
   if (context_->home_upstreams_ && !request.route_->keeps_turns_) {
-    wish.home_subject_ = request.facts_.program_;
+    wish.affinity_key_ = request.facts_.program_;
   }
   wish.seed_ = hash_of(request.facts_.request_id_);
   const auto* service = request.configuration_->find_service(request.service_);
   if (service != nullptr && service->max_connections_ > 0) {
     // All daemons together may have so many connections to an upstream, which resets any more.
     auto share = service->max_connections_ / std::max<std::int64_t>(context_->daemons_, 1);
-    wish.most_here_ = static_cast<int>(std::max<std::int64_t>(share, least_share));
+    wish.max_local_in_flight_ = static_cast<int>(std::max<std::int64_t>(share, least_share));
   }
   if (service != nullptr) {
     wish.cold_start_ = {service->cold_per_s_, context_->daemons_, service->cold_start_};
@@ -73,7 +72,7 @@
     wish.regions_.add(request.account_->allowed_regions_);
   }
   if (service != nullptr && service->engine_) {
-    wish.cache_room_ = service->engine_->cache_tokens_;
+    wish.cache_capacity_ = service->engine_->cache_tokens_;
   }
   return wish;
 }
@@ -85,7 +84,7 @@
   return context_->policies_->find(engines ? context_->engine_policy_ : context_->service_policy_);
 }
 
-auto upstream_dispatch::try_once(gateway_request& request, upstream_wish& wish, tries& so_far)
+auto upstream_dispatch::try_once(gateway_request& request, upstream_criteria& wish, tries& so_far)
     -> task<offer_outcome> {
   auto choice = context_->upstreams_->choose(*policy_of(request), wish);
   if (!ok(choice)) {
@@ -110,7 +109,7 @@
              {"route", request.route_->name_},
              {"upstream", target->entry().id_},
              {"candidates", static_cast<std::int64_t>(value(choice).candidates_)},
-             {"held_tokens", value(choice).held_tokens_},
+             {"held_tokens", value(choice).cached_tokens_},
              {"prompt_tokens", request.facts_.prompt_tokens_},
              {"running_there", std::int64_t{target->running()}},
              {"waited_ms", began - request.received_at_},
--- a/birchlever/gateway/upstream_dispatch.h
+++ b/birchlever/gateway/upstream_dispatch.h
@@ -22,11 +22,11 @@
     int may_have_run_ = 0;
   };
 
-  auto wish_of(const gateway_request& request) const -> upstream_wish;
+  auto wish_of(const gateway_request& request) const -> upstream_criteria;
   auto policy_of(const gateway_request& request) const -> std::shared_ptr<const policy_interface>;
   auto offer_to_upstreams(gateway_request& request, tries& so_far) -> task<offer_outcome>;
   auto cut_stream(gateway_request& request) -> void;
-  auto try_once(gateway_request& request, upstream_wish& wish, tries& so_far) -> task<offer_outcome>;
+  auto try_once(gateway_request& request, upstream_criteria& wish, tries& so_far) -> task<offer_outcome>;
   auto may_go_on(const gateway_request& request, offer_outcome last, const tries& so_far) const -> bool;
   static auto final_error(offer_outcome last, const tries& so_far) -> error;
 
--- a/birchlever/upstream/cold_start_pace.cpp
+++ b/birchlever/upstream/cold_start_pace.cpp
@@ -12,7 +12,8 @@
 
 }  // namespace
 
-auto cold_start_turn_at(const cold_start_limit& limit, double phase, milliseconds now) -> cold_start_turn {
+auto cold_start_window_at(const cold_start_limit& limit, double phase, milliseconds now)
+    -> cold_start_window {
   if (limit.per_s_ <= 0) {
     return {true, now};
   }
--- a/birchlever/upstream/cold_start_pace.h
+++ b/birchlever/upstream/cold_start_pace.h
@@ -20,13 +20,13 @@
 };
 
 /// State of the current period: one request per `number_` may be sent, while `open_` is set.
-struct cold_start_turn {
+struct cold_start_window {
   bool open_ = false;
   std::int64_t number_ = 0;
 };
 
 /// Returns the state of the period at a time. `phase`, 0 to 1, differs between daemons and upstreams.
-[[nodiscard]] auto cold_start_turn_at(const cold_start_limit& limit, double phase, milliseconds now)
-    -> cold_start_turn;
+[[nodiscard]] auto cold_start_window_at(const cold_start_limit& limit, double phase, milliseconds now)
+    -> cold_start_window;
 
 }  // namespace birchlever
--- a/birchlever/upstream/own_link.cpp
+++ b/birchlever/upstream/local_link.cpp
@@ -1,8 +1,8 @@
-#include "birchlever/upstream/own_link.h"
+#include "birchlever/upstream/local_link.h"
 
 namespace birchlever {
 
-auto own_link::note_answer(const std::string& upstream, milliseconds sent_at, milliseconds now) -> void {
+auto local_link::note_answer(const std::string& upstream, milliseconds sent_at, milliseconds now) -> void {
   auto silent = now - last_answer_.at_ > settings_.proof_;
   auto waited_too = now - sent_at > settings_.proof_;
   if (silent && (waited_too || !failed_unanswered_.empty())) {
@@ -15,7 +15,7 @@
   failed_unanswered_.clear();
 }
 
-auto own_link::note_failure(const std::string& upstream, milliseconds now) -> void {
+auto local_link::note_failure(const std::string& upstream, milliseconds now) -> void {
   failed_unanswered_.insert(upstream);
   while (!failures_.empty() && now - failures_.front().at_ > settings_.moment_) {
     failures_.pop_front();
@@ -23,7 +23,7 @@
   failures_.push_back({upstream, now});
 }
 
-auto own_link::failing_at_once(milliseconds now) const -> std::size_t {
+auto local_link::failing_at_once(milliseconds now) const -> std::size_t {
   auto failing = std::set<std::string>{};
   for (const auto& one : failures_) {
     if (now - one.at_ <= settings_.moment_) {
@@ -33,15 +33,15 @@
   return failing.size();
 }
 
-auto own_link::verdict_on(const std::string& upstream, milliseconds sent_at, milliseconds now) const
-    -> link_verdict {
+auto local_link::verdict_on(const std::string& upstream, milliseconds sent_at, milliseconds now) const
+    -> link_status {
   auto most = static_cast<std::size_t>(settings_.most_failing_);
   if (sent_at < sound_since_ || failing_at_once(now) > most || failed_unanswered_.size() > most) {
-    return link_verdict::at_fault;
+    return link_status::faulty;
   }
   const auto& other = last_answer_.upstream_ == upstream ? answer_before_ : last_answer_;
   auto proven = other.at_ > 0 && now - other.at_ <= settings_.proof_;
-  return proven ? link_verdict::sound : link_verdict::unsure;
+  return proven ? link_status::healthy : link_status::unknown;
 }
 
 }  // namespace birchlever
--- a/birchlever/upstream/own_link.h
+++ b/birchlever/upstream/local_link.h
@@ -10,8 +10,8 @@
 
 namespace birchlever {
 
-/// Settings of own_link. Times in ms.
-struct own_link_settings {
+/// Settings of local_link. Times in ms.
+struct local_link_settings {
   milliseconds proof_ = 600;   ///< Time for which a response proves the link healthy; shorter than the
                                ///< connection timeout.
   milliseconds moment_ = 100;  ///< Failures within this window are assumed to have one cause.
@@ -20,16 +20,16 @@
 };
 
 /// State of the link as seen when a request fails.
-enum class link_verdict {
-  sound,    ///< Another upstream responded recently, so the failed upstream is the cause.
-  unsure,   ///< No recent response of another upstream.
-  at_fault  ///< Several upstreams are failing together.
+enum class link_status {
+  healthy,  ///< Another upstream responded recently, so the failed upstream is the cause.
+  unknown,  ///< No recent response of another upstream.
+  faulty    ///< Several upstreams are failing together.
 };
 
 /// Not thread-safe; use from one event loop.
-class own_link {
+class local_link {
  public:
-  explicit own_link(const own_link_settings& settings = {}) : settings_{settings} {}
+  explicit local_link(const local_link_settings& settings = {}) : settings_{settings} {}
 
   /// Records a response of an upstream to a request sent at `sent_at`.
   auto note_answer(const std::string& upstream, milliseconds sent_at, milliseconds now) -> void;
@@ -39,7 +39,7 @@
 
   /// Returns the link's state for a request sent to the upstream at `sent_at`. Record its failure first.
   [[nodiscard]] auto verdict_on(const std::string& upstream, milliseconds sent_at, milliseconds now) const
-      -> link_verdict;
+      -> link_status;
 
   /// Upstreams that failed since the last response from any upstream.
   [[nodiscard]] auto failed_unanswered() const -> const std::set<std::string>& { return failed_unanswered_; }
@@ -55,7 +55,7 @@
 
   [[nodiscard]] auto failing_at_once(milliseconds now) const -> std::size_t;
 
-  own_link_settings settings_;
+  local_link_settings settings_;
   event last_answer_;
   event answer_before_;         ///< Latest response of a different upstream.
   std::deque<event> failures_;  ///< Failures within the window.
--- a/birchlever/upstream/common_parts.cpp
+++ b/birchlever/upstream/shared_prefixes.cpp
@@ -1,4 +1,4 @@
-#include "birchlever/upstream/common_parts.h"
+#include "birchlever/upstream/shared_prefixes.h"
 
 #include <cmath>
 
@@ -13,17 +13,17 @@
 
 }  // namespace
 
-auto common_parts::fading_rate::now(milliseconds moment) const -> double {
+auto shared_prefixes::fading_rate::now(milliseconds moment) const -> double {
   return per_s_ * std::exp(-static_cast<double>(moment - at_) / fade_ms);
 }
 
-auto common_parts::fading_rate::add(double amount, milliseconds moment) -> void {
+auto shared_prefixes::fading_rate::add(double amount, milliseconds moment) -> void {
   per_s_ = now(moment) + amount * ms_per_second / fade_ms;
   at_ = moment;
 }
 
-auto common_parts::note(const std::string& program, const std::vector<prompt_part>& parts,
-                        std::int64_t read_tokens, milliseconds now) -> void {
+auto shared_prefixes::note(const std::string& program, const std::vector<prompt_part>& parts,
+                           std::int64_t read_tokens, milliseconds now) -> void {
   read_.add(static_cast<double>(read_tokens), now);
   for (const auto& part : parts) {
     auto& use = uses_[part.id_];
@@ -38,14 +38,14 @@
   }
 }
 
-auto common_parts::forget_rare(milliseconds now) -> void {
+auto shared_prefixes::forget_rare(milliseconds now) -> void {
   for (auto next = uses_.begin(); next != uses_.end();) {
     next = next->second.programs_.now(now) < rare_per_s ? uses_.erase(next) : std::next(next);
   }
 }
 
-auto common_parts::expected_tokens(const std::vector<prompt_part>& parts, std::int64_t room,
-                                   milliseconds now) const -> std::int64_t {
+auto shared_prefixes::expected_tokens(const std::vector<prompt_part>& parts, std::int64_t room,
+                                      milliseconds now) const -> std::int64_t {
   auto read_per_s = read_.now(now);
   auto expected = 0.0;
   auto probability = 1.0;
--- a/birchlever/upstream/common_parts.h
+++ b/birchlever/upstream/shared_prefixes.h
@@ -17,7 +17,7 @@
 namespace birchlever {
 
 /// Shared prefixes of one service. Not thread-safe.
-class common_parts {
+class shared_prefixes {
  public:
   /// Records a request of a program. `read_tokens` is the number of prompt tokens not cached by the engine.
   auto note(const std::string& program, const std::vector<prompt_part>& parts, std::int64_t read_tokens,
--- a/birchlever/upstream/upstream.h
+++ b/birchlever/upstream/upstream.h
@@ -36,7 +36,7 @@
     if (!cold(limit, now)) {
       return true;
     }
-    auto turn = cold_start_turn_at(limit, phase_, now);
+    auto turn = cold_start_window_at(limit, phase_, now);
     return turn.open_ && turn.number_ != used_turn_;
   }
 
--- a/birchlever/upstream/upstream_choice.cpp
+++ b/birchlever/upstream/upstream_choice.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-auto upstream_directory::usable(const upstream& one, const upstream_wish& wish, milliseconds now) const
+auto upstream_directory::usable(const upstream& one, const upstream_criteria& wish, milliseconds now) const
     -> bool {
   const auto& models = one.entry_.models_;
   auto has_model = wish.model_.empty() || models.empty() ||
@@ -21,7 +21,7 @@
          one.has_turn(wish.cold_start_, now) && wish.excluded_.count(one.entry_.id_) == 0;
 }
 
-auto upstream_directory::candidates(const upstream_wish& wish) -> candidate_list {
+auto upstream_directory::candidates(const upstream_criteria& wish) -> candidate_list {
   auto found = candidate_list{};
   auto known = pools_.find(wish.service_);
   if (known == pools_.end()) {
@@ -57,7 +57,7 @@
   return found;
 }
 
-auto upstream_directory::last_of(const upstream_wish& wish) const -> upstream_pointer {
+auto upstream_directory::last_of(const upstream_criteria& wish) const -> upstream_pointer {
   if (wish.last_upstream_.empty()) {
     return nullptr;
   }
@@ -66,31 +66,31 @@
   return same ? last : nullptr;
 }
 
-auto upstream_directory::view_of(const upstream& one, const upstream_wish& wish) const -> engine_view {
+auto upstream_directory::view_of(const upstream& one, const upstream_criteria& wish) const -> engine_view {
   auto view = engine_view{};
   view.data_hall_ = one.entry_.data_hall_;  // Id and models are left empty: candidates are already filtered.
   view.capacity_ = static_cast<double>(std::max<std::int64_t>(one.entry_.slots_, 1));
   view.running_ = one.running_ + one.running_elsewhere_;
   view.connected_ = connected_ && connected_(one.entry_.address_);
-  auto share_used = wish.most_here_ > 0 && one.running_ >= wish.most_here_;
+  auto share_used = wish.max_local_in_flight_ > 0 && one.running_ >= wish.max_local_in_flight_;
   if (share_used || one.full_until_ > settings_.clock_->now()) {
     view.running_ = std::max(view.running_, view.capacity_);
   }
   view.cache_tokens_ = static_cast<double>(one.cache_.tokens());
-  view.cache_capacity_ = static_cast<double>(std::max<std::int64_t>(wish.cache_room_, 1));
+  view.cache_capacity_ = static_cast<double>(std::max<std::int64_t>(wish.cache_capacity_, 1));
   return view;
 }
 
-auto upstream_directory::home_of(const upstream_wish& wish, const upstream_pool& pool) const
+auto upstream_directory::home_of(const upstream_criteria& wish, const upstream_pool& pool) const
     -> upstream_pointer {
   auto home = upstream_pointer{};
-  if (wish.home_subject_.empty()) {
+  if (wish.affinity_key_.empty()) {
     return home;
   }
   auto now = settings_.clock_->now();
-  auto seed = hash_of(wish.home_subject_);
+  auto seed = hash_of(wish.affinity_key_);
   auto highest = std::uint64_t{0};
-  for (const auto& one : pool.neighbours_of(wish.home_subject_)) {
+  for (const auto& one : pool.neighbours_of(wish.affinity_key_)) {
     auto weight = hash_of(one->entry_.id_, seed);
     if (weight >= highest && usable(*one, wish, now) && !one->health_.avoided(now)) {
       highest = weight;
@@ -100,15 +100,15 @@
   return home;
 }
 
-auto upstream_directory::common_tokens(const upstream_wish& wish) const -> std::int64_t {
+auto upstream_directory::common_tokens(const upstream_criteria& wish) const -> std::int64_t {
   auto common = common_.find(wish.service_);
   if (common == common_.end()) {
     return 0;
   }
-  return common->second.expected_tokens(wish.parts_, wish.cache_room_, settings_.clock_->now());
+  return common->second.expected_tokens(wish.parts_, wish.cache_capacity_, settings_.clock_->now());
 }
 
-auto upstream_directory::held_tokens(const upstream_pointer& one, const upstream_wish& wish,
+auto upstream_directory::held_tokens(const upstream_pointer& one, const upstream_criteria& wish,
                                      std::int64_t common, const upstream_pointer& home,
                                      const upstream_pointer& last) const -> std::int64_t {
   auto held = std::max(one->cache_.held(wish.parts_), common);
@@ -127,7 +127,7 @@
   return held;
 }
 
-auto upstream_directory::choose(const policy_interface& policy, const upstream_wish& wish)
+auto upstream_directory::choose(const policy_interface& policy, const upstream_criteria& wish)
     -> result<upstream_choice> {
   auto found = candidates(wish);
   auto& fitting = found.usable_;
@@ -142,7 +142,7 @@
   auto call = call_view{};
   call.data_hall_ = settings_.data_hall_;
   call.prompt_tokens_ = wish.prompt_tokens_;
-  call.max_tokens_ = wish.most_tokens_;
+  call.max_tokens_ = wish.max_tokens_;
   call.seed_ = wish.seed_;
   auto views = std::vector<engine_view>{};
   views.reserve(fitting.size());
@@ -159,7 +159,7 @@
     return failure(made);
   }
   auto chosen = upstream_choice{fitting[value(made).engine_], fitting.size()};
-  chosen.held_tokens_ = static_cast<std::int64_t>(call.cached_tokens_[value(made).engine_]);
+  chosen.cached_tokens_ = static_cast<std::int64_t>(call.cached_tokens_[value(made).engine_]);
   return chosen;
 }
 
--- a/birchlever/upstream/upstream_directory.cpp
+++ b/birchlever/upstream/upstream_directory.cpp
@@ -113,14 +113,14 @@
   return found == upstreams_.end() ? nullptr : found->second;
 }
 
-auto upstream_directory::begin(upstream& one, const upstream_wish& wish) -> milliseconds {
+auto upstream_directory::begin(upstream& one, const upstream_criteria& wish) -> milliseconds {
   auto now = settings_.clock_->now();
   if (++one.running_ == 1) {
     busy_.push_back(one.shared_from_this());
   }
   one.health_.note_sent(now);
   if (one.cold(wish.cold_start_, now)) {
-    one.used_turn_ = cold_start_turn_at(wish.cold_start_, one.phase_, now).number_;
+    one.used_turn_ = cold_start_window_at(wish.cold_start_, one.phase_, now).number_;
   }
   if (one.listed_) {
     pools_.at(one.entry_.service_).note_used(one.shared_from_this());
@@ -128,7 +128,7 @@
   if (!wish.parts_.empty()) {
     auto held = std::max(one.cache_.held(wish.parts_), common_tokens(wish));
     common_[wish.service_].note(wish.program_, wish.parts_, wish.prompt_tokens_ - held, now);
-    one.cache_.set_room(wish.cache_room_);
+    one.cache_.set_room(wish.cache_capacity_);
     one.cache_.used(wish.parts_);
   }
   return now;
@@ -143,23 +143,23 @@
   one.health_.note_answered(began, now);
 }
 
-auto upstream_directory::end(upstream& one, milliseconds began, upstream_evidence evidence) -> void {
+auto upstream_directory::end(upstream& one, milliseconds began, upstream_outcome evidence) -> void {
   if (--one.running_ == 0) {
     note_idle(one);
   }
   one.health_.note_given_up(began);
   auto now = settings_.clock_->now();
   switch (evidence) {
-    case upstream_evidence::full:
+    case upstream_outcome::full:
       one.full_until_ = now + settings_.full_memory_;
       break;
-    case upstream_evidence::served:
+    case upstream_outcome::served:
       take_success(one, now);
       break;
-    case upstream_evidence::failed:
+    case upstream_outcome::failed:
       take_failure(one, began, now);
       break;
-    case upstream_evidence::none:
+    case upstream_outcome::none:
       break;
   }
 }
@@ -183,13 +183,13 @@
 auto upstream_directory::take_failure(upstream& one, milliseconds began, milliseconds now) -> void {
   link_.note_failure(one.entry_.id_, now);
   auto link = link_.verdict_on(one.entry_.id_, began, now);
-  if (link == link_verdict::at_fault) {
+  if (link == link_status::faulty) {
     forgive_unanswered();
   }
   if (one.health_.note_failure(now, link)) {
     log_avoided(one, "failures", now);
   }
-  if (link == link_verdict::sound) {
+  if (link == link_status::healthy) {
     tell(one, true);  // Failures caused by the local link are not reported.
   }
 }
@@ -206,7 +206,7 @@
   }
 }
 
-auto upstream_directory::hear(const std::string& peer, const upstream_news& news) -> void {
+auto upstream_directory::hear(const std::string& peer, const upstream_health_report& news) -> void {
   auto one = find(news.id_);
   if (!one || one->entry_.born_ != news.born_) {
     return;  // Reports about another incarnation do not apply.
@@ -222,7 +222,7 @@
 auto upstream_directory::find_stalled() -> void {
   auto now = settings_.clock_->now();
   for (const auto& one : busy_) {  // Only upstreams with requests in flight can stall.
-    auto silent = link_.verdict_on(one->entry_.id_, now, now) == link_verdict::sound &&
+    auto silent = link_.verdict_on(one->entry_.id_, now, now) == link_status::healthy &&
                   one->health_.note_stall(now, link_.sound_since());
     if (silent) {
       log_avoided(*one, "silence", now);
--- a/birchlever/upstream/upstream_directory.h
+++ b/birchlever/upstream/upstream_directory.h
@@ -11,29 +11,31 @@
 
 #include "birchlever/core/clock.h"
 #include "birchlever/policy/policy_interface.h"
-#include "birchlever/upstream/common_parts.h"
 #include "birchlever/upstream/hall_regions.h"
-#include "birchlever/upstream/own_link.h"
+#include "birchlever/upstream/local_link.h"
+#include "birchlever/upstream/shared_prefixes.h"
 #include "birchlever/upstream/upstream_pool.h"
 
 namespace birchlever {
 
 /// Outcome of a request as far as it concerns the upstream's health.
-enum class upstream_evidence { served, full, failed, none };
+enum class upstream_outcome { served, full, failed, none };
 
 /// Requirements of a request on its upstream.
-struct upstream_wish {
+struct upstream_criteria {
   std::string service_;
   std::string model_;
   std::int64_t prompt_tokens_ = 0;
-  std::int64_t most_tokens_ = 0;
+  std::int64_t max_tokens_ = 0;
   std::vector<prompt_part> parts_;
   std::string program_;        ///< Program of the request; empty if it belongs to none.
   std::string last_upstream_;  ///< Incarnation that ran the previous turn; empty if there is none.
-  std::string home_subject_;   ///< Requests with equal keys prefer the same upstream on all daemons; empty if
+  std::string affinity_key_;   ///< Requests with equal keys prefer the same upstream on all daemons; empty if
                                ///< the upstream of the previous turn is known.
-  int most_here_ = 0;  ///< Requests of this daemon at which an upstream counts as full; 0 for no limit.
-  std::int64_t cache_room_ = 0;  ///< Cache capacity of the service's engines in tokens; 0 if they have none.
+  int max_local_in_flight_ =
+      0;  ///< Requests of this daemon at which an upstream counts as full; 0 for no limit.
+  std::int64_t cache_capacity_ =
+      0;  ///< Cache capacity of the service's engines in tokens; 0 if they have none.
   std::set<std::string> excluded_;  ///< Ids of upstreams that refused or failed this request.
   region_bounds regions_;           ///< Regions that may serve the request.
   cold_start_limit cold_start_;     ///< Limit for recently started upstreams.
@@ -44,7 +46,7 @@
 struct upstream_choice {
   upstream_pointer chosen_;
   std::size_t candidates_ = 0;
-  std::int64_t held_tokens_ = 0;
+  std::int64_t cached_tokens_ = 0;
 };
 
 /// Settings of upstream_directory.
@@ -62,7 +64,7 @@
 };
 
 /// Change of an upstream's health, exchanged between daemons.
-struct upstream_news {
+struct upstream_health_report {
   std::string id_;
   bool failed_ = false;    ///< False if it serves requests again.
   std::int64_t born_ = 0;  ///< Start time that identifies its incarnation.
@@ -92,10 +94,10 @@
   [[nodiscard]] auto find(const std::string& id) const -> upstream_pointer;
 
   /// Selects an upstream with the policy. Failures: no_upstream.
-  auto choose(const policy_interface& policy, const upstream_wish& wish) -> result<upstream_choice>;
+  auto choose(const policy_interface& policy, const upstream_criteria& wish) -> result<upstream_choice>;
 
   /// Sets the callback for health changes that peers should be notified of.
-  using news_function = std::function<void(const upstream_news&)>;
+  using news_function = std::function<void(const upstream_health_report&)>;
   auto on_news(news_function callback) -> void { on_news_ = std::move(callback); }
 
   /// Sets the function that checks whether an idle pooled connection to an address is available.
@@ -103,19 +105,19 @@
   auto on_connected(connected_function callback) -> void { connected_ = std::move(callback); }
 
   /// Applies a health report of a peer.
-  auto hear(const std::string& peer, const upstream_news& news) -> void;
+  auto hear(const std::string& peer, const upstream_health_report& news) -> void;
 
   /// Detects upstreams that have stopped responding. Call several times per second.
   auto find_stalled() -> void;
 
   /// Records that a request is sent. Returns the send time, which identifies the request in later calls.
-  auto begin(upstream& one, const upstream_wish& wish) -> milliseconds;
+  auto begin(upstream& one, const upstream_criteria& wish) -> milliseconds;
 
   /// Records that the response to the request sent at `began` has started.
   auto answered(upstream& one, milliseconds began) -> void;
 
   /// Records the outcome of the request sent at `began`.
-  auto end(upstream& one, milliseconds began, upstream_evidence evidence) -> void;
+  auto end(upstream& one, milliseconds began, upstream_outcome evidence) -> void;
 
   /// Sets the number of requests that other daemons report in flight at an upstream.
   auto set_running_elsewhere(const std::string& id, double running) -> void;
@@ -140,17 +142,17 @@
   auto change(const upstream_pointer& known, upstream_entry entry) -> void;
   auto drop(const upstream_pointer& one) -> void;
   auto note_cold(upstream& one) const -> void;
-  auto candidates(const upstream_wish& wish) -> candidate_list;
-  auto usable(const upstream& one, const upstream_wish& wish, milliseconds now) const -> bool;
-  auto held_tokens(const upstream_pointer& one, const upstream_wish& wish, std::int64_t common,
+  auto candidates(const upstream_criteria& wish) -> candidate_list;
+  auto usable(const upstream& one, const upstream_criteria& wish, milliseconds now) const -> bool;
+  auto held_tokens(const upstream_pointer& one, const upstream_criteria& wish, std::int64_t common,
                    const upstream_pointer& home, const upstream_pointer& last) const -> std::int64_t;
   /// Returns the expected number of prompt tokens cached by every engine of the service.
-  [[nodiscard]] auto common_tokens(const upstream_wish& wish) const -> std::int64_t;
+  [[nodiscard]] auto common_tokens(const upstream_criteria& wish) const -> std::int64_t;
   /// Returns the usable upstream with the highest rendezvous weight for the affinity key, or null.
-  auto home_of(const upstream_wish& wish, const upstream_pool& pool) const -> upstream_pointer;
+  auto home_of(const upstream_criteria& wish, const upstream_pool& pool) const -> upstream_pointer;
   /// Returns the upstream that ran the previous turn if the same incarnation is still listed; else null.
-  auto last_of(const upstream_wish& wish) const -> upstream_pointer;
-  auto view_of(const upstream& one, const upstream_wish& wish) const -> engine_view;
+  auto last_of(const upstream_criteria& wish) const -> upstream_pointer;
+  auto view_of(const upstream& one, const upstream_criteria& wish) const -> engine_view;
   auto tell(const upstream& one, bool failed) -> void;
   auto note_idle(const upstream& one) -> void;
   auto take_success(upstream& one, milliseconds now) -> void;
@@ -159,9 +161,9 @@
   static auto log_avoided(const upstream& one, const char* cause, milliseconds now) -> void;
 
   upstream_directory_settings settings_;
-  own_link link_;
-  bool link_blamed_ = false;                    ///< The link is considered faulty until an upstream responds.
-  std::map<std::string, common_parts> common_;  ///< By service.
+  local_link link_;
+  bool link_blamed_ = false;  ///< The link is considered faulty until an upstream responds.
+  std::map<std::string, shared_prefixes> common_;                ///< By service.
   std::unordered_map<std::string, upstream_pointer> upstreams_;  ///< By id.
   std::map<std::string, upstream_pool> pools_;                   ///< By service.
   std::vector<upstream_pointer> busy_;                           ///< With requests of this daemon in flight.
--- a/birchlever/upstream/upstream_exchange.cpp
+++ b/birchlever/upstream/upstream_exchange.cpp
@@ -109,7 +109,7 @@
   return status_;
 }
 
-auto upstream_exchange::next(milliseconds patience) -> result<upstream_piece> {
+auto upstream_exchange::next(milliseconds patience) -> result<response_chunk> {
   auto lock = std::unique_lock{mutex_};
   auto ready = changed_.wait_for(lock, std::chrono::milliseconds{patience},
                                  [this] { return !pieces_.empty() || finished_; });
@@ -117,7 +117,7 @@
     return error{error_code::upstream_timeout, "upstream response stalled", ran_state::outcome_unknown};
   }
   if (!pieces_.empty()) {
-    auto piece = upstream_piece{std::move(pieces_.front()), false};
+    auto piece = response_chunk{std::move(pieces_.front()), false};
     pieces_.pop_front();
     changed_.notify_all();
     return piece;
@@ -125,7 +125,7 @@
   if (fault_) {
     return *fault_;
   }
-  return upstream_piece{{}, true};
+  return response_chunk{{}, true};
 }
 
 auto upstream_exchange::read_all(milliseconds patience) -> result<std::string> {
--- a/birchlever/upstream/upstream_exchange.h
+++ b/birchlever/upstream/upstream_exchange.h
@@ -26,7 +26,7 @@
 };
 
 /// Chunk of a response body, or its end.
-struct upstream_piece {
+struct response_chunk {
   std::string bytes_;
   bool end_ = false;
 };
@@ -50,7 +50,7 @@
   auto wait_status(milliseconds patience) -> result<int>;
 
   /// Waits for the next chunk. Failures: upstream_timeout, upstream_failed (response interrupted).
-  auto next(milliseconds patience) -> result<upstream_piece>;
+  auto next(milliseconds patience) -> result<response_chunk>;
 
   /// Returns the remaining response body. Failures: as next().
   auto read_all(milliseconds patience) -> result<std::string>;
--- a/birchlever/upstream/upstream_health.cpp
+++ b/birchlever/upstream/upstream_health.cpp
@@ -38,8 +38,8 @@
   return true;
 }
 
-auto upstream_health::note_failure(milliseconds now, link_verdict link) -> bool {
-  if (avoided(now) || link == link_verdict::at_fault) {
+auto upstream_health::note_failure(milliseconds now, link_status link) -> bool {
+  if (avoided(now) || link == link_status::faulty) {
     return false;  // The request was sent before the avoidance, or the local link failed.
   }
   begin_anew_when_quiet(now);
--- a/birchlever/upstream/upstream_health.h
+++ b/birchlever/upstream/upstream_health.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "birchlever/core/clock.h"
-#include "birchlever/upstream/own_link.h"
+#include "birchlever/upstream/local_link.h"
 
 namespace birchlever {
 
@@ -35,7 +35,7 @@
 
   /// Records a failed request of this daemon. Ignored if the local link is faulty. Returns true if the
   /// upstream becomes avoided.
-  auto note_failure(milliseconds now, link_verdict link = link_verdict::sound) -> bool;
+  auto note_failure(milliseconds now, link_status link = link_status::healthy) -> bool;
 
   /// Records a failure reported by a peer. Before the first avoidance each peer counts once. Returns true if
   /// the upstream becomes avoided.
--- a/birchlever/upstream/upstream_table.cpp
+++ b/birchlever/upstream/upstream_table.cpp
@@ -98,7 +98,7 @@
   }
 }
 
-auto upstream_table::fill_cached(const placement& wish, std::vector<double>& cached) const -> void {
+auto upstream_table::fill_cached(const placement_request& wish, std::vector<double>& cached) const -> void {
   cached.assign(views_.size(), 0.0);
   auto blocks = 0;
   for (auto hash : wish.prefix_hashes_) {
@@ -117,7 +117,7 @@
   }
 }
 
-auto upstream_table::choose_service(const placement& wish) -> result<placed> {
+auto upstream_table::choose_service(const placement_request& wish) -> result<placement_result> {
   auto fitting = std::vector<const vm_entry*>{};
   for (const auto& entry : services_) {
     auto avoided = std::count(wish.call_.avoid_.begin(), wish.call_.avoid_.end(), entry.id_) != 0;
@@ -129,13 +129,13 @@
     return error{error_code::unknown_service, "no VM of service '" + wish.service_ + "' is available",
                  ran_state::not_run, 1000};
   }
-  auto chosen = placed{};
+  auto chosen = placement_result{};
   chosen.upstream_ = *fitting[turn_++ % fitting.size()];
   return chosen;
 }
 
-auto upstream_table::choose(const policy_interface& policy, placement wish, milliseconds now)
-    -> result<placed> {
+auto upstream_table::choose(const policy_interface& policy, placement_request wish, milliseconds now)
+    -> result<placement_result> {
   auto lock = std::lock_guard{mutex_};
   auto pick = [&] { return wish.service_.empty() ? choose_engine(policy, wish, now) : choose_service(wish); };
   auto chosen = pick();
@@ -146,8 +146,8 @@
   return chosen;
 }
 
-auto upstream_table::choose_engine(const policy_interface& policy, placement& wish, milliseconds now)
-    -> result<placed> {
+auto upstream_table::choose_engine(const policy_interface& policy, placement_request& wish, milliseconds now)
+    -> result<placement_result> {
   refresh(now);
   auto suspects = std::vector<std::size_t>{};
   for (auto index = std::size_t{0}; index < views_.size(); ++index) {
@@ -171,14 +171,14 @@
   return describe(std::move(value(chosen)));
 }
 
-auto upstream_table::describe(decision made) const -> placed {
-  auto chosen = placed{known_[made.engine_].entry_, made.priority_, made.candidates_.size(), {}};
+auto upstream_table::describe(decision made) const -> placement_result {
+  auto chosen = placement_result{known_[made.engine_].entry_, made.priority_, made.candidates_.size(), {}};
   auto shown = std::min(explained_candidates, made.candidates_.size());
   auto by_cost = [](const candidate& left, const candidate& right) { return left.cost_ < right.cost_; };
   auto middle = made.candidates_.begin() + static_cast<std::ptrdiff_t>(shown);
   std::partial_sort(made.candidates_.begin(), middle, made.candidates_.end(), by_cost);
   for (auto next = made.candidates_.begin(); next != middle; ++next) {
-    chosen.explained_.push_back({views_[next->engine_].id_, *next});
+    chosen.top_candidates_.push_back({views_[next->engine_].id_, *next});
   }
   return chosen;
 }
--- a/birchlever/upstream/upstream_table.h
+++ b/birchlever/upstream/upstream_table.h
@@ -29,7 +29,7 @@
 };
 
 /// Placement request of a call.
-struct placement {
+struct placement_request {
   call_view call_;
   std::string service_;
   std::vector<std::uint64_t> prefix_hashes_;
@@ -39,17 +39,17 @@
 };
 
 /// Candidate engine with its costs, for diagnostics.
-struct explained_candidate {
+struct ranked_candidate {
   std::string engine_;
-  candidate terms_;
+  candidate cost_terms_;
 };
 
-/// Result of a placement.
-struct placed {
+/// Result of a placement_request.
+struct placement_result {
   vm_entry upstream_;
   int priority_ = 0;
-  std::size_t weighed_ = 0;                     ///< Number of candidate engines.
-  std::vector<explained_candidate> explained_;  ///< Candidates with the lowest costs, in ascending order.
+  std::size_t candidate_count_ = 0;               ///< Number of candidate engines.
+  std::vector<ranked_candidate> top_candidates_;  ///< Candidates with the lowest costs, in ascending order.
 };
 
 /// Thread-safe. Load reports are corrected by the calls that this daemon sent and finished since.
@@ -69,7 +69,8 @@
   auto forget_prefixes(const std::string& engine) -> void;
 
   /// Selects an upstream. Failures: no_upstream, unknown_service.
-  auto choose(const policy_interface& policy, placement wish, milliseconds now) -> result<placed>;
+  auto choose(const policy_interface& policy, placement_request wish, milliseconds now)
+      -> result<placement_result>;
 
   /// Records a call sent to an upstream.
   auto sent(const std::string& upstream, const std::vector<std::uint64_t>& prefix_hashes, milliseconds now)
@@ -96,10 +97,11 @@
   };
 
   auto refresh(milliseconds now) -> void;
-  auto fill_cached(const placement& wish, std::vector<double>& cached) const -> void;
-  auto choose_service(const placement& wish) -> result<placed>;
-  auto choose_engine(const policy_interface& policy, placement& wish, milliseconds now) -> result<placed>;
-  [[nodiscard]] auto describe(decision made) const -> placed;
+  auto fill_cached(const placement_request& wish, std::vector<double>& cached) const -> void;
+  auto choose_service(const placement_request& wish) -> result<placement_result>;
+  auto choose_engine(const policy_interface& policy, placement_request& wish, milliseconds now)
+      -> result<placement_result>;
+  [[nodiscard]] auto describe(decision made) const -> placement_result;
   [[nodiscard]] auto index_of(const std::string& id) const -> std::size_t;
 
   mutable std::mutex mutex_;
--- a/birchlever_daemon/gateway_daemon_peers.cpp
+++ b/birchlever_daemon/gateway_daemon_peers.cpp
@@ -43,9 +43,10 @@
     return failure(joined);
   }
   peers_ = std::move(value(joined));
-  peers_->on_news(
-      [this](const std::string& peer, const upstream_news& news) { context_->upstreams_->hear(peer, news); });
-  context_->upstreams_->on_news([this](const upstream_news& news) { peers_->tell(news); });
+  peers_->on_news([this](const std::string& peer, const upstream_health_report& news) {
+    context_->upstreams_->hear(peer, news);
+  });
+  context_->upstreams_->on_news([this](const upstream_health_report& news) { peers_->tell(news); });
   auto transfer_settings = budget_transfer_settings{};
   transfer_settings.daemon_ = incarnation_name();
   budget_transfer_ = budget_transfer::create(
--- a/fleet_model/daemon_group.cpp
+++ b/fleet_model/daemon_group.cpp
@@ -17,7 +17,7 @@
     for (const auto& one : upstreams.all()) {
       made.directory_.put(one.entry_);
     }
-    made.directory_.on_news([this, index](const upstream_news& news) { tell(index, news); });
+    made.directory_.on_news([this, index](const upstream_health_report& news) { tell(index, news); });
     auto phase = source.chance();
     events.after(phase * static_cast<double>(exchange_.send_gap_), [this, index] { say(index); });
     events.after(phase * look_gap_ms, [this, index] { look(index); });
@@ -45,7 +45,7 @@
   events_->after(static_cast<double>(exchange_.send_gap_), [this, speaker] { say(speaker); });
 }
 
-auto daemon_group::tell(int speaker, const upstream_news& news) -> void {
+auto daemon_group::tell(int speaker, const upstream_health_report& news) -> void {
   auto& daemon = at(speaker);
   daemon.untold_.push_back(news);
   if (!std::exchange(daemon.telling_, true)) {
@@ -60,7 +60,7 @@
   auto& daemon = at(speaker);
   daemon.telling_ = false;
   daemon.told_at_ms_ = events_->now_ms();
-  auto news = std::make_shared<std::vector<upstream_news>>(std::exchange(daemon.untold_, {}));
+  auto news = std::make_shared<std::vector<upstream_health_report>>(std::exchange(daemon.untold_, {}));
   auto share = static_cast<double>(exchange_.most_told_) / static_cast<double>(daemons_.size());
   for (auto listener = 0; listener < static_cast<int>(daemons_.size()); ++listener) {
     if (listener == speaker || source_->chance() >= share) {
--- a/fleet_model/daemon_group.h
+++ b/fleet_model/daemon_group.h
@@ -36,7 +36,7 @@
 
  private:
   auto say(int speaker) -> void;
-  auto tell(int speaker, const upstream_news& news) -> void;
+  auto tell(int speaker, const upstream_health_report& news) -> void;
   auto send_news(int speaker) -> void;
   auto look(int index) -> void;
 
--- a/fleet_model/fleet_model.cpp
+++ b/fleet_model/fleet_model.cpp
@@ -23,7 +23,7 @@
 struct model_try {
   model_program* program_ = nullptr;
   int daemon_ = 0;
-  upstream_wish wish_;
+  upstream_criteria wish_;
   model_request request_;
   int offers_ = 0;
   double due_ms_ = 0;
@@ -107,10 +107,10 @@
       wish.prompt_tokens_ += part.tokens_;
     }
     constexpr auto most_over_mean = 4.0;  // Callers name about so many times the mean as the most.
-    wish.most_tokens_ = static_cast<std::int64_t>(most_over_mean * program->shape_->output_);
+    wish.max_tokens_ = static_cast<std::int64_t>(most_over_mean * program->shape_->output_);
     wish.program_ = std::to_string(program->id_);
     wish.last_upstream_ = program->last_upstream_;
-    wish.cache_room_ = static_cast<std::int64_t>(pattern_->engine_tokens_);
+    wish.cache_capacity_ = static_cast<std::int64_t>(pattern_->engine_tokens_);
     wish.seed_ = hash_of(std::to_string(program->id_), program->turn_);
     begun->on_end_ = [this, program](bool served) { end_try(program, served); };
     events_.after(caller_way_ms, [this, begun] { offer(begun); });
@@ -206,7 +206,7 @@
     ++one->offers_;
     auto target = value(choice).chosen_;
     if (!one->tool_) {
-      figures_.note_prompt(one->wish_.prompt_tokens_, value(choice).held_tokens_);
+      figures_.note_prompt(one->wish_.prompt_tokens_, value(choice).cached_tokens_);
     }
     auto sent_at = daemon.directory_.begin(*target, one->wish_);
     const auto& place = upstreams_.at(target->entry().id_);
@@ -221,11 +221,11 @@
   }
 
   auto not_reached(const try_pointer& one, const upstream_pointer& target, milliseconds sent_at) -> void {
-    end_offer(one, *target, sent_at, upstream_evidence::failed);
+    end_offer(one, *target, sent_at, upstream_outcome::failed);
     offer(one);
   }
 
-  auto end_offer(const try_pointer& one, upstream& target, milliseconds sent_at, upstream_evidence evidence)
+  auto end_offer(const try_pointer& one, upstream& target, milliseconds sent_at, upstream_outcome evidence)
       -> void {
     one->wish_.excluded_.insert(target.entry().id_);
     daemon_of(*one).directory_.end(target, sent_at, evidence);
@@ -245,7 +245,7 @@
     };
     request.on_refused_ = [this, one, target, sent_at] {
       events_.after(way_ms, [this, one, target, sent_at] {
-        end_offer(one, *target, sent_at, upstream_evidence::full);
+        end_offer(one, *target, sent_at, upstream_outcome::full);
         offer(one);
       });
     };
@@ -258,14 +258,14 @@
     if (daemon_of(*one).cut_) {
       auto left = std::max(one->due_ms_ - events_.now_ms(), 0.0);
       events_.after(left, [this, one, target, sent_at] {
-        end_offer(one, *target, sent_at, upstream_evidence::none);
+        end_offer(one, *target, sent_at, upstream_outcome::none);
         one->on_end_(false);
       });
       return;
     }
     auto served = !lost && in_time;
-    auto evidence = lost ? upstream_evidence::failed : upstream_evidence::served;
-    end_offer(one, *target, sent_at, in_time ? evidence : upstream_evidence::none);
+    auto evidence = lost ? upstream_outcome::failed : upstream_outcome::served;
+    end_offer(one, *target, sent_at, in_time ? evidence : upstream_outcome::none);
     if (served && !one->tool_) {
       one->program_->last_upstream_ = target->entry().id_;
     }
--- a/fleet_model/model_daemon.h
+++ b/fleet_model/model_daemon.h
@@ -37,7 +37,7 @@
   std::string vm_;
   upstream_directory directory_;
   peer_views views_;
-  std::vector<upstream_news> untold_;
+  std::vector<upstream_health_report> untold_;
   bool telling_ = false;
   double told_at_ms_ = 0;
   bool cut_ = false;  ///< Reaches no upstream.
--- a/performance_test/decisions_test.cpp
+++ b/performance_test/decisions_test.cpp
@@ -24,7 +24,7 @@
   }
   table.set_upstreams(entries, {}, {});
   auto policy = value(make_policy({policy_kind::program_aware, {}}));
-  auto wish = placement{};
+  auto wish = placement_request{};
   wish.call_.model_ = "model-1";
   wish.call_.prompt_tokens_ = 4000;
   wish.call_.max_tokens_ = 200;
--- a/unit_tests/controllers/peer_exchange_test.cpp
+++ b/unit_tests/controllers/peer_exchange_test.cpp
@@ -59,8 +59,8 @@
   REQUIRE(two->views().answered_since(clock.now() - 30) == nullptr);
   REQUIRE(one->views().answered_since(0) == nullptr);
   REQUIRE(one->views().running_elsewhere().at("u1") == 2);
-  auto heard = std::vector<upstream_news>{};
-  one->on_news([&](const std::string& peer, const upstream_news& news) {
+  auto heard = std::vector<upstream_health_report>{};
+  one->on_news([&](const std::string& peer, const upstream_health_report& news) {
     CHECK(peer == "vm-2");
     heard.push_back(news);
   });
--- a/unit_tests/policy/policy_test.cpp
+++ b/unit_tests/policy/policy_test.cpp
@@ -93,7 +93,7 @@
   };
   auto list = std::vector{entry("one"), entry("two")};
   auto policy = value(make_policy({policy_kind::least_loaded, {}}));
-  auto wish = placement{};
+  auto wish = placement_request{};
   wish.call_.model_ = "standard";
   table.set_upstreams(list, {"one"}, {});
   CHECK(value(table.choose(*policy, wish, 0)).upstream_.id_ == "two");
--- a/unit_tests/upstream/own_link_test.cpp
+++ b/unit_tests/upstream/local_link_test.cpp
@@ -1,5 +1,5 @@
 /// What a daemon's own link explains is no news of an upstream.
-#include "birchlever/upstream/own_link.h"
+#include "birchlever/upstream/local_link.h"
 
 #include <catch2/catch.hpp>
 
@@ -20,15 +20,15 @@
       entry.id_ = "u" + std::to_string(number);
       directory_->put(entry);
     }
-    directory_->on_news([this](const upstream_news& news) { told_.push_back(news); });
+    directory_->on_news([this](const upstream_health_report& news) { told_.push_back(news); });
   }
 
   /// A request that takes 20 ms.
-  auto request(const std::string& id, upstream_evidence evidence) -> void {
+  auto request(const std::string& id, upstream_outcome evidence) -> void {
     auto target = directory_->find(id);
     auto began = directory_->begin(*target, {});
     clock_->advance(20);
-    if (evidence == upstream_evidence::served) {
+    if (evidence == upstream_outcome::served) {
       directory_->answered(*target, began);
     }
     directory_->end(*target, began, evidence);
@@ -42,15 +42,15 @@
 
   std::shared_ptr<manual_clock> clock_ = std::make_shared<manual_clock>();
   std::unique_ptr<upstream_directory> directory_;
-  std::vector<upstream_news> told_;
+  std::vector<upstream_health_report> told_;
 };
 
 }  // namespace
 
 TEST_CASE("a failure is told while other upstreams answer") {
   auto fixture = link_fixture{};
-  fixture.request("u0", upstream_evidence::served);
-  fixture.request("u1", upstream_evidence::failed);
+  fixture.request("u0", upstream_outcome::served);
+  fixture.request("u1", upstream_outcome::failed);
   REQUIRE(fixture.told_.size() == 1);
   CHECK(fixture.told_[0].id_ == "u1");
   CHECK(fixture.told_[0].failed_);
@@ -58,11 +58,11 @@
 
 TEST_CASE("a daemon whose link is cut tells nobody and avoids nothing") {
   auto fixture = link_fixture{};
-  fixture.request("u0", upstream_evidence::served);
+  fixture.request("u0", upstream_outcome::served);
   fixture.clock_->advance(700);
   for (auto round = 0; round < 4; ++round) {
     for (auto number = 0; number < 8; ++number) {
-      fixture.request("u" + std::to_string(number), upstream_evidence::failed);
+      fixture.request("u" + std::to_string(number), upstream_outcome::failed);
     }
   }
   CHECK(fixture.told_.empty());
@@ -70,21 +70,21 @@
 }
 
 TEST_CASE("connections that are reset all at once are no news of their upstreams") {
-  auto link = own_link{};
+  auto link = local_link{};
   link.note_answer("u0", 1000, 1010);
   for (const auto* id : {"u1", "u2", "u3"}) {
     link.note_failure(id, 1020);
   }
-  CHECK(link.verdict_on("u3", 1005, 1020) == link_verdict::at_fault);
+  CHECK(link.verdict_on("u3", 1005, 1020) == link_status::faulty);
   link.note_answer("u0", 1030, 1200);
   link.note_failure("u1", 1210);
-  CHECK(link.verdict_on("u1", 1205, 1210) == link_verdict::sound);
+  CHECK(link.verdict_on("u1", 1205, 1210) == link_status::healthy);
 }
 
 TEST_CASE("the only upstream that is tried is left although nothing proves the link") {
   auto fixture = link_fixture{};
   for (auto tries = 0; tries < 2; ++tries) {
-    fixture.request("u0", upstream_evidence::failed);
+    fixture.request("u0", upstream_outcome::failed);
   }
   CHECK(fixture.avoided() == 1);
   CHECK(fixture.told_.empty());
@@ -92,20 +92,20 @@
 
 TEST_CASE("requests that waited while the link was silent do not show that their upstream hangs") {
   auto fixture = link_fixture{};
-  fixture.request("u0", upstream_evidence::served);
+  fixture.request("u0", upstream_outcome::served);
   auto lost = fixture.directory_->find("u1");
   fixture.directory_->begin(*lost, {});
   auto held_up = fixture.directory_->find("u2");
   auto began = fixture.directory_->begin(*held_up, {});
   fixture.clock_->advance(2000);
   fixture.directory_->answered(*held_up, began);
-  fixture.directory_->end(*held_up, began, upstream_evidence::served);
+  fixture.directory_->end(*held_up, began, upstream_outcome::served);
   fixture.directory_->find_stalled();
   CHECK(fixture.avoided() == 0);
   fixture.directory_->begin(*lost, {});
   for (auto answers = 0; answers < 4; ++answers) {
     fixture.clock_->advance(480);
-    fixture.request("u0", upstream_evidence::served);
+    fixture.request("u0", upstream_outcome::served);
   }
   fixture.directory_->find_stalled();
   CHECK(fixture.avoided() == 1);
@@ -138,10 +138,10 @@
 
 TEST_CASE("that a suspected upstream serves is told to peers") {
   auto fixture = link_fixture{};
-  fixture.request("u0", upstream_evidence::served);
+  fixture.request("u0", upstream_outcome::served);
   CHECK(fixture.told_.empty());
   fixture.directory_->hear("vm-2", {"u0", true});
-  fixture.request("u0", upstream_evidence::served);
+  fixture.request("u0", upstream_outcome::served);
   REQUIRE(fixture.told_.size() == 1);
   CHECK_FALSE(fixture.told_[0].failed_);
 }
--- a/unit_tests/upstream/common_parts_test.cpp
+++ b/unit_tests/upstream/shared_prefixes_test.cpp
@@ -1,5 +1,5 @@
 /// Parts of prompts that many programs share are expected at every engine; those of one program are not.
-#include "birchlever/upstream/common_parts.h"
+#include "birchlever/upstream/shared_prefixes.h"
 
 #include <catch2/catch.hpp>
 
@@ -12,8 +12,8 @@
 const auto shared = prompt_part{1, 2500};
 
 /// Programs that begin each `gap` ms; each sends two turns.
-auto after_programs(int programs, milliseconds gap) -> common_parts {
-  auto common = common_parts{};
+auto after_programs(int programs, milliseconds gap) -> shared_prefixes {
+  auto common = shared_prefixes{};
   for (auto program = 0; program < programs; ++program) {
     auto own = prompt_part{100 + static_cast<std::uint64_t>(program), 1000};
     auto name = "p" + std::to_string(program);
@@ -34,7 +34,7 @@
 }
 
 TEST_CASE("turns of one program make nothing common") {
-  auto common = common_parts{};
+  auto common = shared_prefixes{};
   for (auto turn = 0; turn < 20; ++turn) {
     common.note("p", {shared}, 100, turn * 300);
   }
@@ -66,10 +66,10 @@
   }
   auto policy = value(make_policy(policy_settings{
       policy_kind::program_aware, {{"prefill_rate", 45000}, {"decode_rate", 250}, {"cache_weight", 4}}}));
-  auto wish = upstream_wish{};
+  auto wish = upstream_criteria{};
   wish.service_ = "chat";
-  wish.cache_room_ = room;
-  wish.most_tokens_ = 136;
+  wish.cache_capacity_ = room;
+  wish.max_tokens_ = 136;
   auto met = directory.find("u1");
   auto program = 0U;
   auto next_program = [&] {
@@ -82,7 +82,7 @@
     next_program();
     auto began = directory.begin(*met, wish);
     clock->advance(300);
-    directory.end(*met, began, upstream_evidence::served);
+    directory.end(*met, began, upstream_outcome::served);
   }
   directory.set_running_elsewhere("u1", 5);
   next_program();
--- a/unit_tests/upstream/upstream_directory_test.cpp
+++ b/unit_tests/upstream/upstream_directory_test.cpp
@@ -15,15 +15,15 @@
   return entry;
 }
 
-auto wish_for(std::vector<prompt_part> parts) -> upstream_wish {
-  auto wish = upstream_wish{};
+auto wish_for(std::vector<prompt_part> parts) -> upstream_criteria {
+  auto wish = upstream_criteria{};
   wish.service_ = "chat";
   wish.parts_ = std::move(parts);
   for (const auto& part : wish.parts_) {
     wish.prompt_tokens_ += part.tokens_;
   }
-  wish.most_tokens_ = 100;
-  wish.cache_room_ = 10000;
+  wish.max_tokens_ = 100;
+  wish.cache_capacity_ = 10000;
   return wish;
 }
 
@@ -34,7 +34,7 @@
     directory_.put(entry_of("u2"));
   }
 
-  auto chosen(const upstream_wish& wish) -> std::string {
+  auto chosen(const upstream_criteria& wish) -> std::string {
     auto choice = directory_.choose(*policy_, wish);
     return ok(choice) ? value(choice).chosen_->entry().id_ : std::string{};
   }
@@ -51,7 +51,7 @@
   auto there = directory_fixture{};
   for (auto program = 0U; program < 16; ++program) {
     auto wish = wish_for({{1, 500}, {2, 600}});
-    wish.home_subject_ = "p" + std::to_string(program);
+    wish.affinity_key_ = "p" + std::to_string(program);
     wish.seed_ = program;
     auto first = here.chosen(wish);
     wish.seed_ = program + 1;
@@ -62,7 +62,7 @@
 TEST_CASE("a program leaves its home upstream when that is much fuller than others") {
   auto fixture = directory_fixture{};
   auto wish = wish_for({{1, 500}, {2, 600}});
-  wish.home_subject_ = "p1";
+  wish.affinity_key_ = "p1";
   auto home = fixture.chosen(wish);
   fixture.directory_.set_running_elsewhere(home, 40);
   CHECK(fixture.chosen(wish) != home);
@@ -73,7 +73,7 @@
   auto wish = wish_for({{1, 2000}, {2, 500}});
   auto first = fixture.directory_.find("u2");
   auto began = fixture.directory_.begin(*first, wish);
-  fixture.directory_.end(*first, began, upstream_evidence::served);
+  fixture.directory_.end(*first, began, upstream_outcome::served);
   for (auto seed = 0U; seed < 8; ++seed) {
     wish.seed_ = seed;
     REQUIRE(fixture.chosen(wish) == "u2");
@@ -96,7 +96,7 @@
   auto bad = fixture.directory_.find("u1");
   for (auto failures = 0; failures < 2; ++failures) {
     auto began = fixture.directory_.begin(*bad, wish);
-    fixture.directory_.end(*bad, began, upstream_evidence::failed);
+    fixture.directory_.end(*bad, began, upstream_outcome::failed);
   }
   for (auto seed = 0U; seed < 8; ++seed) {
     wish.seed_ = seed;
@@ -117,22 +117,22 @@
     fixture.directory_.set_running_elsewhere("u1", 3);
   }
   REQUIRE(fixture.chosen(wish) == "u2");
-  wish.most_here_ = 2;
+  wish.max_local_in_flight_ = 2;
   REQUIRE(fixture.chosen(wish) == "u1");
 }
 
 TEST_CASE("failures that peers tell count like own ones, and so does that it serves again") {
   auto fixture = directory_fixture{};
-  auto told = std::vector<upstream_news>{};
-  fixture.directory_.on_news([&](const upstream_news& news) { told.push_back(news); });
+  auto told = std::vector<upstream_health_report>{};
+  fixture.directory_.on_news([&](const upstream_health_report& news) { told.push_back(news); });
   auto wish = wish_for({});
   auto good = fixture.directory_.find("u2");
   auto began = fixture.directory_.begin(*good, wish);
   fixture.directory_.answered(*good, began);  // Without it this daemon's own link could be the cause.
-  fixture.directory_.end(*good, began, upstream_evidence::served);
+  fixture.directory_.end(*good, began, upstream_outcome::served);
   auto bad = fixture.directory_.find("u1");
   began = fixture.directory_.begin(*bad, wish);
-  fixture.directory_.end(*bad, began, upstream_evidence::failed);
+  fixture.directory_.end(*bad, began, upstream_outcome::failed);
   REQUIRE(told.size() == 1);
   REQUIRE(told[0].failed_);
   fixture.directory_.hear("vm-2", {"u1", true});
--- a/unit_tests/upstream/upstream_start_test.cpp
+++ b/unit_tests/upstream/upstream_start_test.cpp
@@ -17,8 +17,8 @@
   return entry;
 }
 
-auto plain_wish(std::uint64_t seed = 0) -> upstream_wish {
-  auto wish = upstream_wish{};
+auto plain_wish(std::uint64_t seed = 0) -> upstream_criteria {
+  auto wish = upstream_criteria{};
   wish.service_ = "chat";
   wish.seed_ = seed;
   return wish;
@@ -40,7 +40,7 @@
     return made;
   }
 
-  auto chosen(const upstream_wish& wish) -> std::string {
+  auto chosen(const upstream_criteria& wish) -> std::string {
     auto choice = directory_.choose(*policy_, wish);
     return ok(choice) ? value(choice).chosen_->entry().id_ : std::string{};
   }
@@ -60,7 +60,7 @@
   auto former = fixture.directory_.find("u1");
   auto wish = plain_wish();
   wish.parts_ = {{1, 500}};
-  wish.cache_room_ = 10000;
+  wish.cache_capacity_ = 10000;
   auto began = fixture.directory_.begin(*former, wish);
   auto told = 0;
   former->on_replaced([&told] { ++told; });
@@ -74,7 +74,7 @@
     fixture.directory_.hear("vm-2", {"u1", true, 1000});
     fixture.directory_.hear("vm-3", {"u1", true, 1000});
   }
-  fixture.directory_.end(*former, began, upstream_evidence::failed);
+  fixture.directory_.end(*former, began, upstream_outcome::failed);
   CHECK(latter->health().weight() == 0);
   fixture.directory_.put(entry_in("u1", "a", 1000));  // Told late.
   CHECK(fixture.directory_.find("u1") == latter);
@@ -82,8 +82,8 @@
 
 TEST_CASE("failures at a former start are no news for peers, those at the latter are") {
   auto fixture = start_fixture{};
-  auto told = std::vector<upstream_news>{};
-  fixture.directory_.on_news([&told](const upstream_news& news) { told.push_back(news); });
+  auto told = std::vector<upstream_health_report>{};
+  fixture.directory_.on_news([&told](const upstream_health_report& news) { told.push_back(news); });
   fixture.directory_.put(entry_in("u1", "a", 1000));
   fixture.directory_.put(entry_in("u2", "a", 1000));
   auto answering = fixture.directory_.find("u2");
@@ -92,12 +92,12 @@
   fixture.directory_.put(entry_in("u1", "a", 2000));
   auto answered = fixture.directory_.begin(*answering, plain_wish());
   fixture.directory_.answered(*answering, answered);
-  fixture.directory_.end(*answering, answered, upstream_evidence::served);
-  fixture.directory_.end(*former, began, upstream_evidence::failed);
+  fixture.directory_.end(*answering, answered, upstream_outcome::served);
+  fixture.directory_.end(*former, began, upstream_outcome::failed);
   CHECK(told.empty());
   auto latter = fixture.directory_.find("u1");
   began = fixture.directory_.begin(*latter, plain_wish());
-  fixture.directory_.end(*latter, began, upstream_evidence::failed);
+  fixture.directory_.end(*latter, began, upstream_outcome::failed);
   REQUIRE(told.size() == 1);
   CHECK(told[0].born_ == 2000);
 }
@@ -111,7 +111,7 @@
   auto wish = plain_wish();
   wish.parts_ = {{1, 3000}, {2, 100}};
   wish.prompt_tokens_ = 3100;
-  wish.cache_room_ = 10000;
+  wish.cache_capacity_ = 10000;
   wish.last_upstream_ = incarnation_of(fixture.directory_.find("u1")->entry());
   CHECK(id_of_incarnation(wish.last_upstream_) == "u1");
   for (auto seed = 0U; seed < 8; ++seed) {
@@ -186,7 +186,7 @@
       if (!daemon->chosen(wish).empty()) {
         auto one = daemon->directory_.find("u1");
         auto began = daemon->directory_.begin(*one, wish);
-        daemon->directory_.end(*one, began, upstream_evidence::served);
+        daemon->directory_.end(*one, began, upstream_outcome::served);
         sent.push_back(now);
       }
     }
@@ -227,14 +227,14 @@
   auto wish = plain_wish(77);
   wish.parts_ = {{1, 3000}, {2, 100}};
   wish.prompt_tokens_ = 3100;
-  wish.cache_room_ = 10000;
+  wish.cache_capacity_ = 10000;
   auto choice = fixture.directory_.choose(*fixture.policy_, wish);
   REQUIRE(ok(choice));
   CHECK(value(choice).candidates_ <= 64);
   wish.last_upstream_ = "u4321";
   CHECK(fixture.chosen(wish) == "u4321");
   wish.last_upstream_.clear();
-  wish.home_subject_ = "p1";
+  wish.affinity_key_ = "p1";
   auto home = fixture.chosen(wish);
   auto other = start_fixture{2};
   other.policy_ = value(make_policy(policy_settings{policy_kind::program_aware, {{"prefill_rate", 45000}}}));
@@ -262,7 +262,7 @@
     auto wish = plain_wish();
     wish.parts_ = {{1, 3000}, {2, 100}};
     wish.prompt_tokens_ = 3100;
-    wish.cache_room_ = 10000;
+    wish.cache_capacity_ = 10000;
     auto began = std::chrono::steady_clock::now();
     for (auto seed = 0U; seed < choices; ++seed) {
       wish.seed_ = seed * 2'654'435'761U;
