--- a/birchlever/controllers/shard_placement.cpp
+++ b/birchlever/controllers/shard_placement.cpp
@@ -67,7 +67,7 @@
   made.ticket_.policy_ = owner.policy_;
   if (request.service_.empty()) {
     ask_shadows(context, wish, chosen.upstream_.id_, now);
-    context.upstreams_->sent(chosen.upstream_.id_, request.prefix_hashes_, now);
+    context.upstreams_->record_sent(chosen.upstream_.id_, request.prefix_hashes_, now);
   }
   made.choice_ = std::move(chosen);
   return made;
--- a/birchlever/controllers/shard_programs.cpp
+++ b/birchlever/controllers/shard_programs.cpp
@@ -96,7 +96,7 @@
   const auto& report = request.report_;
   auto answered = report.outcome_ == call_outcome::answered;
   auto now = context_->clock_->now();
-  context_->upstreams_->done(report.upstream_, report.outcome_ == call_outcome::failed, now);
+  context_->upstreams_->record_finished(report.upstream_, report.outcome_ == call_outcome::failed, now);
   auto* owner = ledger_->find(report.account_, report.program_);
   if (owner == nullptr || !answered || request.prompt_tokens_ == 0) {
     return;
--- a/birchlever/controllers/upstream_watch.cpp
+++ b/birchlever/controllers/upstream_watch.cpp
@@ -45,7 +45,7 @@
     auto body = json::parse(views);
     auto now = context.clock_->now();
     for (const auto& one : body) {
-      context.upstreams_->report(report_from_json(one), now);
+      context.upstreams_->update_load(report_from_json(one), now);
     }
   } catch (const json::exception& fault) {
     return error{error_code::malformed_json, std::string{"shared views are not readable: "} + fault.what()};
@@ -107,7 +107,7 @@
   report.lag_ms_ = body.value("lag_ms", 0.0);
   report.models_ = body.value("models", std::vector<std::string>{});
   report.role_ = body.value("role", "both");
-  context_->upstreams_->report(report, context_->clock_->now());
+  context_->upstreams_->update_load(report, context_->clock_->now());
   return true;
 }
 
--- a/birchlever/gateway/upstream_dispatch.cpp
+++ b/birchlever/gateway/upstream_dispatch.cpp
@@ -92,11 +92,11 @@
   }
   auto target = value(choice).chosen_;
   auto began = context_->clock_.now();
-  auto sent_at = context_->upstreams_->begin(*target, wish);
+  auto sent_at = context_->upstreams_->record_sent(*target, wish);
   auto offer = upstream_offer{*context_, request, *target, sent_at};
   auto outcome = co_await offer.run();
   request.connection_->on_gone(nullptr);
-  context_->upstreams_->end(*target, sent_at, evidence_of(outcome, request));
+  context_->upstreams_->record_finished(*target, sent_at, evidence_of(outcome, request));
   wish.excluded_.insert(target->entry().id_);
   ++so_far.offers_;
   auto took = context_->clock_.now() - began;
--- a/birchlever/gateway/upstream_offer.cpp
+++ b/birchlever/gateway/upstream_offer.cpp
@@ -90,7 +90,7 @@
   }
   auto watch = target_->on_replaced([connection = connection_] { connection->abort(); });
   auto outcome = co_await relay();
-  target_->forget_callback(watch);
+  target_->remove_callback(watch);
   co_return outcome;
 }
 
@@ -104,9 +104,9 @@
     co_return judge(*fault);
   }
   connection_ = std::get<0>(taken);
-  if (!target_->takes_requests() || request_->connection_->gone()) {
+  if (!target_->accepts_requests() || request_->connection_->gone()) {
     context_->upstream_connections_->give_back(address, connection_);
-    co_return target_->takes_requests() ? offer_outcome::caller_gone : offer_outcome::refused;
+    co_return target_->accepts_requests() ? offer_outcome::caller_gone : offer_outcome::refused;
   }
   request_->connection_->on_gone([connection = connection_] { connection->abort(); });
   connection_->send(message(), request_->due_ - context_->clock_.now());
@@ -121,7 +121,7 @@
     connection_->abort();
     co_return judge(*fault);
   }
-  context_->upstreams_->answered(*target_, sent_at_);
+  context_->upstreams_->record_response_started(*target_, sent_at_);
   auto& head = std::get<http_response>(read);
   auto facts = context_->dialect_->read_answer(head);
   if (facts.surely_not_run_) {
--- a/birchlever/upstream/cold_start_pace.h
+++ b/birchlever/upstream/cold_start_pace.h
@@ -14,9 +14,9 @@
 
 /// Rate limit of a cold upstream.
 struct cold_start_limit {
-  double per_s_ = 0;          ///< Requests per second from all daemons; 0 for no limit.
-  std::int64_t daemons_ = 1;  ///< Number of daemons sharing the limit.
-  milliseconds lasts_ = 0;    ///< Time in ms for which an upstream is cold after a start.
+  double per_s_ = 0;           ///< Requests per second from all daemons; 0 for no limit.
+  std::int64_t daemons_ = 1;   ///< Number of daemons sharing the limit.
+  milliseconds duration_ = 0;  ///< Time in ms for which an upstream is cold after a start.
 };
 
 /// State of the current period: one request per `number_` may be sent, while `open_` is set.
--- a/birchlever/upstream/hall_regions.cpp
+++ b/birchlever/upstream/hall_regions.cpp
@@ -24,7 +24,7 @@
   return found == regions_.end() ? std::string{} : found->second;
 }
 
-auto region_bounds::add(const std::vector<std::string>& allowed) -> void {
+auto region_constraint::add(const std::vector<std::string>& allowed) -> void {
   if (allowed.empty()) {
     return;
   }
@@ -38,7 +38,7 @@
   allowed_ = std::move(added);
 }
 
-auto region_bounds::allow(const std::string& region) const -> bool {
+auto region_constraint::allow(const std::string& region) const -> bool {
   return !bound_ || allowed_.count(region) != 0;
 }
 
--- a/birchlever/upstream/hall_regions.h
+++ b/birchlever/upstream/hall_regions.h
@@ -27,7 +27,7 @@
 };
 
 /// Regions that may serve a request: the intersection of all added constraints.
-class region_bounds {
+class region_constraint {
  public:
   /// Adds a constraint. An empty list adds none.
   auto add(const std::vector<std::string>& allowed) -> void;
--- a/birchlever/upstream/local_link.h
+++ b/birchlever/upstream/local_link.h
@@ -12,11 +12,11 @@
 
 /// Settings of local_link. Times in ms.
 struct local_link_settings {
-  milliseconds proof_ = 600;   ///< Time for which a response proves the link healthy; shorter than the
-                               ///< connection timeout.
-  milliseconds moment_ = 100;  ///< Failures within this window are assumed to have one cause.
-  int most_failing_ = 2;  ///< Upstreams that may fail within the window, or without a response in between,
-                          ///< before the link is considered faulty.
+  milliseconds proof_duration_ = 600;  ///< Time for which a response proves the link healthy; shorter than
+                                       ///< the connection timeout.
+  milliseconds failure_window_ = 100;  ///< Failures within this window are assumed to have one cause.
+  int max_failing_ = 2;  ///< Upstreams that may fail within the window, or without a response in between,
+                         ///< before the link is considered faulty.
 };
 
 /// State of the link as seen when a request fails.
@@ -32,20 +32,20 @@
   explicit local_link(const local_link_settings& settings = {}) : settings_{settings} {}
 
   /// Records a response of an upstream to a request sent at `sent_at`.
-  auto note_answer(const std::string& upstream, milliseconds sent_at, milliseconds now) -> void;
+  auto record_response(const std::string& upstream, milliseconds sent_at, milliseconds now) -> void;
 
   /// Records a failed request.
-  auto note_failure(const std::string& upstream, milliseconds now) -> void;
+  auto record_failure(const std::string& upstream, milliseconds now) -> void;
 
   /// Returns the link's state for a request sent to the upstream at `sent_at`. Record its failure first.
-  [[nodiscard]] auto verdict_on(const std::string& upstream, milliseconds sent_at, milliseconds now) const
+  [[nodiscard]] auto status_for(const std::string& upstream, milliseconds sent_at, milliseconds now) const
       -> link_status;
 
   /// Upstreams that failed since the last response from any upstream.
   [[nodiscard]] auto failed_unanswered() const -> const std::set<std::string>& { return failed_unanswered_; }
 
   /// Time at which the link recovered; earlier requests may have been delayed by the link.
-  [[nodiscard]] auto sound_since() const -> milliseconds { return sound_since_; }
+  [[nodiscard]] auto healthy_since() const -> milliseconds { return healthy_since_; }
 
  private:
   struct event {
@@ -60,7 +60,7 @@
   event answer_before_;         ///< Latest response of a different upstream.
   std::deque<event> failures_;  ///< Failures within the window.
   std::set<std::string> failed_unanswered_;
-  milliseconds sound_since_ = 0;
+  milliseconds healthy_since_ = 0;
 };
 
 }  // namespace birchlever
--- a/birchlever/upstream/prompt_cache.h
+++ b/birchlever/upstream/prompt_cache.h
@@ -17,14 +17,14 @@
 /// LRU model of the engine's cache.
 class prompt_cache {
  public:
-  /// Sets the capacity in tokens. Takes effect with the next used().
-  auto set_room(std::int64_t tokens) -> void { room_ = tokens; }
+  /// Sets the capacity in tokens. Takes effect with the next record_use().
+  auto set_capacity(std::int64_t tokens) -> void { capacity_ = tokens; }
 
   /// Records that the engine processed a prompt with these parts.
-  auto used(const std::vector<prompt_part>& parts) -> void;
+  auto record_use(const std::vector<prompt_part>& parts) -> void;
 
   /// Returns the tokens of the longest cached prefix.
-  [[nodiscard]] auto held(const std::vector<prompt_part>& parts) const -> std::int64_t;
+  [[nodiscard]] auto cached_prefix_tokens(const std::vector<prompt_part>& parts) const -> std::int64_t;
 
   /// Total number of cached tokens.
   [[nodiscard]] auto tokens() const -> std::int64_t { return tokens_; }
@@ -36,7 +36,7 @@
   std::list<prompt_part> by_age_;  ///< Most recently used first.
   std::unordered_map<std::uint64_t, std::list<prompt_part>::iterator> known_;
   std::int64_t tokens_ = 0;
-  std::int64_t room_ = 0;
+  std::int64_t capacity_ = 0;
 };
 
 }  // namespace birchlever
--- a/birchlever/upstream/shared_prefixes.cpp
+++ b/birchlever/upstream/shared_prefixes.cpp
@@ -22,8 +22,8 @@
   at_ = moment;
 }
 
-auto shared_prefixes::note(const std::string& program, const std::vector<prompt_part>& parts,
-                           std::int64_t read_tokens, milliseconds now) -> void {
+auto shared_prefixes::record(const std::string& program, const std::vector<prompt_part>& parts,
+                             std::int64_t read_tokens, milliseconds now) -> void {
   read_.add(static_cast<double>(read_tokens), now);
   for (const auto& part : parts) {
     auto& use = uses_[part.id_];
@@ -44,8 +44,8 @@
   }
 }
 
-auto shared_prefixes::expected_tokens(const std::vector<prompt_part>& parts, std::int64_t room,
-                                      milliseconds now) const -> std::int64_t {
+auto shared_prefixes::expected_cached_tokens(const std::vector<prompt_part>& parts, std::int64_t room,
+                                             milliseconds now) const -> std::int64_t {
   auto read_per_s = read_.now(now);
   auto expected = 0.0;
   auto probability = 1.0;
--- a/birchlever/upstream/shared_prefixes.h
+++ b/birchlever/upstream/shared_prefixes.h
@@ -20,13 +20,13 @@
 class shared_prefixes {
  public:
   /// Records a request of a program. `read_tokens` is the number of prompt tokens not cached by the engine.
-  auto note(const std::string& program, const std::vector<prompt_part>& parts, std::int64_t read_tokens,
-            milliseconds now) -> void;
+  auto record(const std::string& program, const std::vector<prompt_part>& parts, std::int64_t read_tokens,
+              milliseconds now) -> void;
 
   /// Returns the expected number of leading prompt tokens cached by an arbitrary engine with the given cache
   /// capacity in tokens.
-  [[nodiscard]] auto expected_tokens(const std::vector<prompt_part>& parts, std::int64_t room,
-                                     milliseconds now) const -> std::int64_t;
+  [[nodiscard]] auto expected_cached_tokens(const std::vector<prompt_part>& parts, std::int64_t room,
+                                            milliseconds now) const -> std::int64_t;
 
  private:
   /// Exponentially decaying rate.
--- a/birchlever/upstream/upstream.h
+++ b/birchlever/upstream/upstream.h
@@ -24,15 +24,15 @@
   [[nodiscard]] auto health() const -> const upstream_health& { return health_; }
 
   /// Returns false if it is leaving, is no longer listed, or its data hall is closed.
-  [[nodiscard]] auto takes_requests() const -> bool { return listed_ && !entry_.leaving_ && !hall_closed_; }
+  [[nodiscard]] auto accepts_requests() const -> bool { return listed_ && !entry_.leaving_ && !hall_closed_; }
 
   /// Returns true while the cold start limit applies.
   [[nodiscard]] auto cold(const cold_start_limit& limit, milliseconds now) const -> bool {
-    return limit.per_s_ > 0 && (now < cold_until_ || now < hall_opened_at_ + limit.lasts_);
+    return limit.per_s_ > 0 && (now < cold_until_ || now < hall_opened_at_ + limit.duration_);
   }
 
   /// Returns true if the cold start limit permits a request of this daemon now.
-  [[nodiscard]] auto has_turn(const cold_start_limit& limit, milliseconds now) const -> bool {
+  [[nodiscard]] auto has_send_window(const cold_start_limit& limit, milliseconds now) const -> bool {
     if (!cold(limit, now)) {
       return true;
     }
@@ -47,7 +47,7 @@
     return watches_;
   }
 
-  auto forget_callback(int number) -> void { replaced_.erase(number); }
+  auto remove_callback(int number) -> void { replaced_.erase(number); }
 
  private:
   friend class upstream_directory;
--- a/birchlever/upstream/upstream_choice.cpp
+++ b/birchlever/upstream/upstream_choice.cpp
@@ -17,8 +17,8 @@
   const auto& models = one.entry_.models_;
   auto has_model = wish.model_.empty() || models.empty() ||
                    std::find(models.begin(), models.end(), wish.model_) != models.end();
-  return one.takes_requests() && has_model && wish.regions_.allow(one.region_) &&
-         one.has_turn(wish.cold_start_, now) && wish.excluded_.count(one.entry_.id_) == 0;
+  return one.accepts_requests() && has_model && wish.regions_.allow(one.region_) &&
+         one.has_send_window(wish.cold_start_, now) && wish.excluded_.count(one.entry_.id_) == 0;
 }
 
 auto upstream_directory::candidates(const upstream_criteria& wish) -> candidate_list {
@@ -105,13 +105,13 @@
   if (common == common_.end()) {
     return 0;
   }
-  return common->second.expected_tokens(wish.parts_, wish.cache_capacity_, settings_.clock_->now());
+  return common->second.expected_cached_tokens(wish.parts_, wish.cache_capacity_, settings_.clock_->now());
 }
 
 auto upstream_directory::held_tokens(const upstream_pointer& one, const upstream_criteria& wish,
                                      std::int64_t common, const upstream_pointer& home,
                                      const upstream_pointer& last) const -> std::int64_t {
-  auto held = std::max(one->cache_.held(wish.parts_), common);
+  auto held = std::max(one->cache_.cached_prefix_tokens(wish.parts_), common);
   if (wish.parts_.empty()) {
     return held;
   }
@@ -131,7 +131,7 @@
     -> result<upstream_choice> {
   auto found = candidates(wish);
   auto& fitting = found.usable_;
-  auto enough = settings_.least_kept_share_ * static_cast<double>(fitting.size());
+  auto enough = settings_.min_healthy_share_ * static_cast<double>(fitting.size());
   if (static_cast<double>(found.sound_) >= enough) {
     fitting.resize(found.sound_);
   }
--- a/birchlever/upstream/upstream_directory.cpp
+++ b/birchlever/upstream/upstream_directory.cpp
@@ -113,12 +113,12 @@
   return found == upstreams_.end() ? nullptr : found->second;
 }
 
-auto upstream_directory::begin(upstream& one, const upstream_criteria& wish) -> milliseconds {
+auto upstream_directory::record_sent(upstream& one, const upstream_criteria& wish) -> milliseconds {
   auto now = settings_.clock_->now();
   if (++one.running_ == 1) {
     busy_.push_back(one.shared_from_this());
   }
-  one.health_.note_sent(now);
+  one.health_.record_sent(now);
   if (one.cold(wish.cold_start_, now)) {
     one.used_turn_ = cold_start_window_at(wish.cold_start_, one.phase_, now).number_;
   }
@@ -126,32 +126,33 @@
     pools_.at(one.entry_.service_).note_used(one.shared_from_this());
   }
   if (!wish.parts_.empty()) {
-    auto held = std::max(one.cache_.held(wish.parts_), common_tokens(wish));
-    common_[wish.service_].note(wish.program_, wish.parts_, wish.prompt_tokens_ - held, now);
-    one.cache_.set_room(wish.cache_capacity_);
-    one.cache_.used(wish.parts_);
+    auto held = std::max(one.cache_.cached_prefix_tokens(wish.parts_), common_tokens(wish));
+    common_[wish.service_].record(wish.program_, wish.parts_, wish.prompt_tokens_ - held, now);
+    one.cache_.set_capacity(wish.cache_capacity_);
+    one.cache_.record_use(wish.parts_);
   }
   return now;
 }
 
-auto upstream_directory::answered(upstream& one, milliseconds began) -> void {
+auto upstream_directory::record_response_started(upstream& one, milliseconds began) -> void {
   auto now = settings_.clock_->now();
-  link_.note_answer(one.entry_.id_, began, now);
+  link_.record_response(one.entry_.id_, began, now);
   if (std::exchange(link_blamed_, false)) {
     log_event(log_level::info, "link_recovered", {{"upstream", one.entry_.id_}});
   }
-  one.health_.note_answered(began, now);
+  one.health_.record_response(began, now);
 }
 
-auto upstream_directory::end(upstream& one, milliseconds began, upstream_outcome evidence) -> void {
+auto upstream_directory::record_finished(upstream& one, milliseconds began, upstream_outcome evidence)
+    -> void {
   if (--one.running_ == 0) {
     note_idle(one);
   }
-  one.health_.note_given_up(began);
+  one.health_.remove_pending(began);
   auto now = settings_.clock_->now();
   switch (evidence) {
     case upstream_outcome::full:
-      one.full_until_ = now + settings_.full_memory_;
+      one.full_until_ = now + settings_.full_duration_;
       break;
     case upstream_outcome::served:
       take_success(one, now);
@@ -171,7 +172,7 @@
 
 auto upstream_directory::take_success(upstream& one, milliseconds now) -> void {
   auto suspected = one.health_.suspected(now);
-  auto was_avoided = one.health_.note_success();
+  auto was_avoided = one.health_.record_success();
   if (was_avoided) {
     log_event(log_level::info, "upstream_recovered", {{"upstream", one.entry_.id_}});
   }
@@ -181,12 +182,12 @@
 }
 
 auto upstream_directory::take_failure(upstream& one, milliseconds began, milliseconds now) -> void {
-  link_.note_failure(one.entry_.id_, now);
-  auto link = link_.verdict_on(one.entry_.id_, began, now);
+  link_.record_failure(one.entry_.id_, now);
+  auto link = link_.status_for(one.entry_.id_, began, now);
   if (link == link_status::faulty) {
     forgive_unanswered();
   }
-  if (one.health_.note_failure(now, link)) {
+  if (one.health_.record_failure(now, link)) {
     log_avoided(one, "failures", now);
   }
   if (link == link_status::healthy) {
@@ -201,29 +202,30 @@
   }
   for (const auto& id : link_.failed_unanswered()) {
     if (auto blamed = find(id)) {
-      blamed->health_.forgive();
+      blamed->health_.clear_failures();
     }
   }
 }
 
-auto upstream_directory::hear(const std::string& peer, const upstream_health_report& news) -> void {
+auto upstream_directory::apply_peer_report(const std::string& peer, const upstream_health_report& news)
+    -> void {
   auto one = find(news.id_);
   if (!one || one->entry_.born_ != news.born_) {
     return;  // Reports about another incarnation do not apply.
   }
   auto now = settings_.clock_->now();
   if (!news.failed_) {
-    one->health_.note_success();
-  } else if (one->health_.note_peer_failure(peer, now)) {
+    one->health_.record_success();
+  } else if (one->health_.record_peer_failure(peer, now)) {
     log_avoided(*one, "peer", now);
   }
 }
 
-auto upstream_directory::find_stalled() -> void {
+auto upstream_directory::detect_stalled() -> void {
   auto now = settings_.clock_->now();
   for (const auto& one : busy_) {  // Only upstreams with requests in flight can stall.
-    auto silent = link_.verdict_on(one->entry_.id_, now, now) == link_status::healthy &&
-                  one->health_.note_stall(now, link_.sound_since());
+    auto silent = link_.status_for(one->entry_.id_, now, now) == link_status::healthy &&
+                  one->health_.detect_stall(now, link_.healthy_since());
     if (silent) {
       log_avoided(*one, "silence", now);
       tell(*one, true);
@@ -232,8 +234,8 @@
 }
 
 auto upstream_directory::tell(const upstream& one, bool failed) -> void {
-  if (on_news_ && one.listed_) {
-    on_news_({one.entry_.id_, failed, one.entry_.born_});
+  if (on_health_report_ && one.listed_) {
+    on_health_report_({one.entry_.id_, failed, one.entry_.born_});
   }
 }
 
--- a/birchlever/upstream/upstream_directory.h
+++ b/birchlever/upstream/upstream_directory.h
@@ -37,7 +37,7 @@
   std::int64_t cache_capacity_ =
       0;  ///< Cache capacity of the service's engines in tokens; 0 if they have none.
   std::set<std::string> excluded_;  ///< Ids of upstreams that refused or failed this request.
-  region_bounds regions_;           ///< Regions that may serve the request.
+  region_constraint regions_;       ///< Regions that may serve the request.
   cold_start_limit cold_start_;     ///< Limit for recently started upstreams.
   std::uint64_t seed_ = 0;
 };
@@ -56,9 +56,9 @@
   hall_regions regions_;
   upstream_health_settings health_;
   upstream_pool_settings pools_;
-  double least_kept_share_ = 0.25;  ///< If fewer than this fraction of the candidates are healthy, avoided
-                                    ///< ones are used too, to prevent overload of the remaining ones.
-  milliseconds full_memory_ =
+  double min_healthy_share_ = 0.25;  ///< If fewer than this fraction of the candidates are healthy, avoided
+                                     ///< ones are used too, to prevent overload of the remaining ones.
+  milliseconds full_duration_ =
       60;  ///< Time in ms for which an upstream counts as full after it refused a request.
   std::shared_ptr<const clock_interface> clock_ = std::make_shared<steady_clock>();
 };
@@ -97,27 +97,27 @@
   auto choose(const policy_interface& policy, const upstream_criteria& wish) -> result<upstream_choice>;
 
   /// Sets the callback for health changes that peers should be notified of.
-  using news_function = std::function<void(const upstream_health_report&)>;
-  auto on_news(news_function callback) -> void { on_news_ = std::move(callback); }
+  using health_report_function = std::function<void(const upstream_health_report&)>;
+  auto on_health_report(health_report_function callback) -> void { on_health_report_ = std::move(callback); }
 
   /// Sets the function that checks whether an idle pooled connection to an address is available.
-  using connected_function = std::function<bool(const boost::asio::ip::tcp::endpoint&)>;
-  auto on_connected(connected_function callback) -> void { connected_ = std::move(callback); }
+  using connection_check_function = std::function<bool(const boost::asio::ip::tcp::endpoint&)>;
+  auto set_connection_check(connection_check_function callback) -> void { connected_ = std::move(callback); }
 
   /// Applies a health report of a peer.
-  auto hear(const std::string& peer, const upstream_health_report& news) -> void;
+  auto apply_peer_report(const std::string& peer, const upstream_health_report& news) -> void;
 
   /// Detects upstreams that have stopped responding. Call several times per second.
-  auto find_stalled() -> void;
+  auto detect_stalled() -> void;
 
   /// Records that a request is sent. Returns the send time, which identifies the request in later calls.
-  auto begin(upstream& one, const upstream_criteria& wish) -> milliseconds;
+  auto record_sent(upstream& one, const upstream_criteria& wish) -> milliseconds;
 
   /// Records that the response to the request sent at `began` has started.
-  auto answered(upstream& one, milliseconds began) -> void;
+  auto record_response_started(upstream& one, milliseconds began) -> void;
 
   /// Records the outcome of the request sent at `began`.
-  auto end(upstream& one, milliseconds began, upstream_outcome evidence) -> void;
+  auto record_finished(upstream& one, milliseconds began, upstream_outcome evidence) -> void;
 
   /// Sets the number of requests that other daemons report in flight at an upstream.
   auto set_running_elsewhere(const std::string& id, double running) -> void;
@@ -169,8 +169,8 @@
   std::vector<upstream_pointer> busy_;                           ///< With requests of this daemon in flight.
   std::vector<upstream_pointer> busy_elsewhere_;  ///< With requests of other daemons in flight.
   std::set<std::string> closed_halls_;
-  news_function on_news_;
-  connected_function connected_;
+  health_report_function on_health_report_;
+  connection_check_function connected_;
 };
 
 }  // namespace birchlever
--- a/birchlever/upstream/upstream_entry.cpp
+++ b/birchlever/upstream/upstream_entry.cpp
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-auto meaning_of(const upstream_entry& entry) -> std::string {
+auto comparison_key(const upstream_entry& entry) -> std::string {
   auto text = std::ostringstream{};
   text << entry.id_ << '|' << entry.service_ << '|' << entry.address_ << '|' << entry.data_hall_ << '|'
        << entry.slots_ << '|' << entry.leaving_ << '|' << entry.born_ << '|' << (entry.cold_left_ > 0);
--- a/birchlever/upstream/upstream_entry.h
+++ b/birchlever/upstream/upstream_entry.h
@@ -25,7 +25,7 @@
 };
 
 /// Returns a text of all fields relevant to decisions. Entries with equal texts are interchangeable.
-[[nodiscard]] auto meaning_of(const upstream_entry& entry) -> std::string;
+[[nodiscard]] auto comparison_key(const upstream_entry& entry) -> std::string;
 
 /// Returns the identifier of an incarnation: "id@born", or "id" if `born_` is 0.
 [[nodiscard]] auto incarnation_of(const upstream_entry& entry) -> std::string;
--- a/birchlever/upstream/upstream_health.cpp
+++ b/birchlever/upstream/upstream_health.cpp
@@ -13,13 +13,13 @@
 
 auto upstream_health::avoid(milliseconds now) -> void {
   auto doublings = std::min(avoidances_++, most_doublings);
-  avoidance_ = std::min(settings_.first_avoidance_ << doublings, settings_.longest_avoidance_);
+  avoidance_ = std::min(settings_.initial_avoidance_ << doublings, settings_.max_avoidance_);
   auto factor = least_jitter + jitter_width * jitter_;
   avoid_until_ = now + static_cast<milliseconds>(static_cast<double>(avoidance_) * factor);
 }
 
 auto upstream_health::begin_anew_when_quiet(milliseconds now) -> void {
-  auto quiet = std::max(settings_.forget_, 2 * avoidance_);
+  auto quiet = std::max(settings_.reset_after_, 2 * avoidance_);
   if (now - failed_at_ > quiet) {
     weight_ = 0;
     avoidances_ = 0;
@@ -31,22 +31,22 @@
 auto upstream_health::add(int weight, milliseconds now) -> bool {
   weight_ += weight;
   failed_at_ = now;
-  if (weight_ < settings_.weight_until_avoided_) {
+  if (weight_ < settings_.avoidance_weight_) {
     return false;
   }
   avoid(now);
   return true;
 }
 
-auto upstream_health::note_failure(milliseconds now, link_status link) -> bool {
+auto upstream_health::record_failure(milliseconds now, link_status link) -> bool {
   if (avoided(now) || link == link_status::faulty) {
     return false;  // The request was sent before the avoidance, or the local link failed.
   }
   begin_anew_when_quiet(now);
-  return add(settings_.own_weight_, now);
+  return add(settings_.local_weight_, now);
 }
 
-auto upstream_health::note_peer_failure(const std::string& peer, milliseconds now) -> bool {
+auto upstream_health::record_peer_failure(const std::string& peer, milliseconds now) -> bool {
   if (avoided(now)) {
     // Late in an avoidance, a peer has probed the upstream and failed: extend the avoidance without a probe.
     if (avoid_until_ - now <= avoidance_ / 2) {
@@ -65,11 +65,11 @@
 }
 
 auto upstream_health::suspected(milliseconds now) const -> bool {
-  auto recent = now - failed_at_ <= settings_.forget_;
-  return recent && weight_ + settings_.own_weight_ >= settings_.weight_until_avoided_;
+  auto recent = now - failed_at_ <= settings_.reset_after_;
+  return recent && weight_ + settings_.local_weight_ >= settings_.avoidance_weight_;
 }
 
-auto upstream_health::forgive() -> void {
+auto upstream_health::clear_failures() -> void {
   weight_ = 0;
   avoidances_ = 0;
   avoidance_ = 0;
@@ -77,30 +77,30 @@
   peers_.clear();
 }
 
-auto upstream_health::note_success() -> bool {
+auto upstream_health::record_success() -> bool {
   auto was_avoided = avoidances_ > 0;
-  forgive();
+  clear_failures();
   return was_avoided;
 }
 
-auto upstream_health::note_given_up(milliseconds sent_at) -> void {
+auto upstream_health::remove_pending(milliseconds sent_at) -> void {
   auto place = waiting_.find(sent_at);
   if (place != waiting_.end()) {
     waiting_.erase(place);
   }
 }
 
-auto upstream_health::note_answered(milliseconds sent_at, milliseconds now) -> void {
+auto upstream_health::record_response(milliseconds sent_at, milliseconds now) -> void {
   answered_at_ = now;
-  note_given_up(sent_at);
+  remove_pending(sent_at);
 }
 
-auto upstream_health::note_stall(milliseconds now, milliseconds link_sound_since) -> bool {
+auto upstream_health::detect_stall(milliseconds now, milliseconds link_sound_since) -> bool {
   auto oldest = waiting_.lower_bound(link_sound_since);
-  auto stalled = oldest != waiting_.end() && now - *oldest >= settings_.stall_ &&
-                 now - answered_at_ >= settings_.stall_ && !avoided(now);
+  auto stalled = oldest != waiting_.end() && now - *oldest >= settings_.stall_timeout_ &&
+                 now - answered_at_ >= settings_.stall_timeout_ && !avoided(now);
   if (stalled) {
-    weight_ = std::max(weight_, settings_.weight_until_avoided_);
+    weight_ = std::max(weight_, settings_.avoidance_weight_);
     failed_at_ = now;
     avoid(now);
   }
--- a/birchlever/upstream/upstream_health.h
+++ b/birchlever/upstream/upstream_health.h
@@ -16,14 +16,14 @@
 
 /// Settings of upstream_health. Times in ms.
 struct upstream_health_settings {
-  int weight_until_avoided_ = 3;           ///< Total weight of failures at which the upstream is avoided.
-  int own_weight_ = 2;                     ///< Weight of a failure of this daemon; a peer's has weight 1.
-  milliseconds first_avoidance_ = 500;     ///< Initial avoidance time.
-  milliseconds longest_avoidance_ = 8000;  ///< Upper limit of the avoidance time.
-  milliseconds forget_ = 1500;  ///< Time without failures that resets the weight, or twice the latest
-                                ///< avoidance if that is longer.
-  milliseconds stall_ = 1500;   ///< Time without responses to pending requests after which the upstream
-                                ///< is stalled; below the stream timeout of callers.
+  int avoidance_weight_ = 3;              ///< Total weight of failures at which the upstream is avoided.
+  int local_weight_ = 2;                  ///< Weight of a failure of this daemon; a peer's has weight 1.
+  milliseconds initial_avoidance_ = 500;  ///< Initial avoidance time.
+  milliseconds max_avoidance_ = 8000;     ///< Upper limit of the avoidance time.
+  milliseconds reset_after_ = 1500;    ///< Time without failures that resets the weight, or twice the latest
+                                       ///< avoidance if that is longer.
+  milliseconds stall_timeout_ = 1500;  ///< Time without responses to pending requests after which the
+                                       ///< upstream is stalled; below the stream timeout of callers.
 };
 
 /// Not thread-safe; use from one event loop.
@@ -35,34 +35,34 @@
 
   /// Records a failed request of this daemon. Ignored if the local link is faulty. Returns true if the
   /// upstream becomes avoided.
-  auto note_failure(milliseconds now, link_status link = link_status::healthy) -> bool;
+  auto record_failure(milliseconds now, link_status link = link_status::healthy) -> bool;
 
   /// Records a failure reported by a peer. Before the first avoidance each peer counts once. Returns true if
   /// the upstream becomes avoided.
-  auto note_peer_failure(const std::string& peer, milliseconds now) -> bool;
+  auto record_peer_failure(const std::string& peer, milliseconds now) -> bool;
 
   /// Records a success of this daemon or a peer. Returns true if the upstream had been avoided.
-  auto note_success() -> bool;
+  auto record_success() -> bool;
 
   /// Clears all failures, such as those found to be caused by the local link.
-  auto forgive() -> void;
+  auto clear_failures() -> void;
 
   /// Returns true if one more failure of this daemon would cause avoidance; a success is then reported to
   /// peers.
   [[nodiscard]] auto suspected(milliseconds now) const -> bool;
 
   /// Records a request whose response is pending.
-  auto note_sent(milliseconds now) -> void { waiting_.insert(now); }
+  auto record_sent(milliseconds now) -> void { waiting_.insert(now); }
 
   /// Records the start of the response to the request sent at `sent_at`.
-  auto note_answered(milliseconds sent_at, milliseconds now) -> void;
+  auto record_response(milliseconds sent_at, milliseconds now) -> void;
 
   /// Removes the pending request sent at `sent_at`, if any.
-  auto note_given_up(milliseconds sent_at) -> void;
+  auto remove_pending(milliseconds sent_at) -> void;
 
   /// Returns true, and avoids the upstream, if a request sent at or after `link_sound_since` is pending and
   /// no response arrived within the stall timeout. Returns false while the upstream is avoided.
-  auto note_stall(milliseconds now, milliseconds link_sound_since = 0) -> bool;
+  auto detect_stall(milliseconds now, milliseconds link_sound_since = 0) -> bool;
 
   [[nodiscard]] auto avoided(milliseconds now) const -> bool { return avoid_until_ > now; }
   [[nodiscard]] auto avoid_until() const -> milliseconds { return avoid_until_; }
--- a/birchlever/upstream/upstream_pool.cpp
+++ b/birchlever/upstream/upstream_pool.cpp
@@ -37,7 +37,7 @@
     used_.erase(known);
   }
   used_.push_front(one);
-  if (used_.size() > settings_.used_last_) {
+  if (used_.size() > settings_.recently_used_) {
     used_.pop_back();
   }
 }
@@ -62,15 +62,15 @@
   }
   ++samples_;
   auto chosen = std::vector<upstream_pointer>{};
-  chosen.reserve(settings_.used_last_ + settings_.own_hall_ + settings_.anywhere_);
+  chosen.reserve(settings_.recently_used_ + settings_.local_hall_ + settings_.any_hall_);
   for (const auto& one : used_) {
     take(one, chosen);
   }
   auto own = by_hall_.find(hall);
   if (own != by_hall_.end()) {
-    draw(own->second, settings_.own_hall_, seed, chosen);
+    draw(own->second, settings_.local_hall_, seed, chosen);
   }
-  draw(all_, settings_.anywhere_, ~seed, chosen);
+  draw(all_, settings_.any_hall_, ~seed, chosen);
   return chosen;
 }
 
@@ -80,7 +80,7 @@
   }
   auto near = std::vector<upstream_pointer>{};
   auto next = ring_.lower_bound(hash_of(subject));
-  while (near.size() < settings_.home_candidates_) {
+  while (near.size() < settings_.affinity_candidates_) {
     next = next == ring_.end() ? ring_.begin() : next;
     near.push_back(next->second);
     ++next;
--- a/birchlever/upstream/upstream_pool.h
+++ b/birchlever/upstream/upstream_pool.h
@@ -16,11 +16,11 @@
 
 /// Settings of upstream_pool.
 struct upstream_pool_settings {
-  std::size_t most_weighed_ = 160;   ///< Pool size up to which all upstreams are candidates.
-  std::size_t used_last_ = 16;       ///< Sampled from those most recently used by this daemon.
-  std::size_t own_hall_ = 24;        ///< Sampled from this daemon's data hall.
-  std::size_t anywhere_ = 8;         ///< Sampled from the whole pool.
-  std::size_t home_candidates_ = 8;  ///< Candidates for the upstream of an affinity key.
+  std::size_t max_unsampled_ = 160;      ///< Pool size up to which all upstreams are candidates.
+  std::size_t recently_used_ = 16;       ///< Sampled from those most recently used by this daemon.
+  std::size_t local_hall_ = 24;          ///< Sampled from this daemon's data hall.
+  std::size_t any_hall_ = 8;             ///< Sampled from the whole pool.
+  std::size_t affinity_candidates_ = 8;  ///< Candidates for the upstream of an affinity key.
 };
 
 /// Not thread-safe; use from one event loop.
@@ -41,7 +41,7 @@
   [[nodiscard]] auto sample(const std::string& hall, std::uint64_t seed) -> std::vector<upstream_pointer>;
 
   /// Returns true if the pool is large enough to be sampled.
-  [[nodiscard]] auto sampled() const -> bool { return all_.size() > settings_.most_weighed_; }
+  [[nodiscard]] auto sampled() const -> bool { return all_.size() > settings_.max_unsampled_; }
 
   /// Returns the upstreams following the key on a hash ring, which are the same on all daemons.
   [[nodiscard]] auto neighbours_of(const std::string& subject) const -> std::vector<upstream_pointer>;
--- a/birchlever/upstream/upstream_table.cpp
+++ b/birchlever/upstream/upstream_table.cpp
@@ -57,7 +57,7 @@
   }
 }
 
-auto upstream_table::report(const load_report& fresh, milliseconds now) -> void {
+auto upstream_table::update_load(const load_report& fresh, milliseconds now) -> void {
   auto lock = std::lock_guard{mutex_};
   auto index = index_of(fresh.engine_);
   if (index == none) {
@@ -79,7 +79,7 @@
   drop_before(known.done_, seen_until);
 }
 
-auto upstream_table::forget_prefixes(const std::string& engine) -> void {
+auto upstream_table::clear_prefixes(const std::string& engine) -> void {
   auto lock = std::lock_guard{mutex_};
   auto index = static_cast<std::uint32_t>(index_of(engine));
   for (auto& [hash, holders] : prefix_holders_) {
@@ -183,8 +183,8 @@
   return chosen;
 }
 
-auto upstream_table::sent(const std::string& upstream, const std::vector<std::uint64_t>& prefix_hashes,
-                          milliseconds now) -> void {
+auto upstream_table::record_sent(const std::string& upstream, const std::vector<std::uint64_t>& prefix_hashes,
+                                 milliseconds now) -> void {
   auto lock = std::lock_guard{mutex_};
   auto index = index_of(upstream);
   if (index == none) {
@@ -206,7 +206,7 @@
   }
 }
 
-auto upstream_table::done(const std::string& upstream, bool failed, milliseconds now) -> void {
+auto upstream_table::record_finished(const std::string& upstream, bool failed, milliseconds now) -> void {
   auto lock = std::lock_guard{mutex_};
   auto index = index_of(upstream);
   if (index == none) {
--- a/birchlever/upstream/upstream_table.h
+++ b/birchlever/upstream/upstream_table.h
@@ -63,21 +63,21 @@
                      const std::set<std::string>& drained_halls) -> void;
 
   /// Applies a load report received at `now`. Reports of unknown engines are ignored.
-  auto report(const load_report& fresh, milliseconds now) -> void;
+  auto update_load(const load_report& fresh, milliseconds now) -> void;
 
   /// Removes the cached prefixes of an engine, as after a restart or cache flush.
-  auto forget_prefixes(const std::string& engine) -> void;
+  auto clear_prefixes(const std::string& engine) -> void;
 
   /// Selects an upstream. Failures: no_upstream, unknown_service.
   auto choose(const policy_interface& policy, placement_request wish, milliseconds now)
       -> result<placement_result>;
 
   /// Records a call sent to an upstream.
-  auto sent(const std::string& upstream, const std::vector<std::uint64_t>& prefix_hashes, milliseconds now)
-      -> void;
+  auto record_sent(const std::string& upstream, const std::vector<std::uint64_t>& prefix_hashes,
+                   milliseconds now) -> void;
 
   /// Records a finished call. Consecutive failures exclude the upstream temporarily.
-  auto done(const std::string& upstream, bool failed, milliseconds now) -> void;
+  auto record_finished(const std::string& upstream, bool failed, milliseconds now) -> void;
 
   /// Returns the current view of all engines.
   [[nodiscard]] auto engines(milliseconds now) -> std::vector<engine_view>;
--- a/birchlever_daemon/gateway_daemon.cpp
+++ b/birchlever_daemon/gateway_daemon.cpp
@@ -99,7 +99,7 @@
   context_->dialect_ = std::make_shared<platform::header_dialect>();
   context_->upstream_connections_ = connection_pool::create(loop_, {});
   context_->upstreams_ = std::make_shared<upstream_directory>(directory_settings);
-  context_->upstreams_->on_connected([this](const asio::ip::tcp::endpoint& address) {
+  context_->upstreams_->set_connection_check([this](const asio::ip::tcp::endpoint& address) {
     return context_->upstream_connections_->has_idle(address, context_->limits_.streaming_most_idle_);
   });
   context_->programs_ = value(programs);
--- a/birchlever_daemon/gateway_daemon_peers.cpp
+++ b/birchlever_daemon/gateway_daemon_peers.cpp
@@ -44,9 +44,9 @@
   }
   peers_ = std::move(value(joined));
   peers_->on_news([this](const std::string& peer, const upstream_health_report& news) {
-    context_->upstreams_->hear(peer, news);
+    context_->upstreams_->apply_peer_report(peer, news);
   });
-  context_->upstreams_->on_news([this](const upstream_health_report& news) { peers_->tell(news); });
+  context_->upstreams_->on_health_report([this](const upstream_health_report& news) { peers_->tell(news); });
   auto transfer_settings = budget_transfer_settings{};
   transfer_settings.daemon_ = incarnation_name();
   budget_transfer_ = budget_transfer::create(
@@ -176,7 +176,7 @@
 auto gateway_daemon::follow_peers() -> task<> {
   while (true) {
     co_await pause_for(loop_, peer_look_gap);
-    context_->upstreams_->find_stalled();
+    context_->upstreams_->detect_stalled();
     context_->daemons_ =
         peers_->list_known() ? static_cast<std::int64_t>(peers_->listed_peers()) + 1 : unknown_fleet;
     store_->set_fleet(settings_.store_writes_per_s_, context_->daemons_);
--- a/fleet_model/daemon_group.cpp
+++ b/fleet_model/daemon_group.cpp
@@ -17,7 +17,8 @@
     for (const auto& one : upstreams.all()) {
       made.directory_.put(one.entry_);
     }
-    made.directory_.on_news([this, index](const upstream_health_report& news) { tell(index, news); });
+    made.directory_.on_health_report(
+        [this, index](const upstream_health_report& news) { tell(index, news); });
     auto phase = source.chance();
     events.after(phase * static_cast<double>(exchange_.send_gap_), [this, index] { say(index); });
     events.after(phase * look_gap_ms, [this, index] { look(index); });
@@ -68,7 +69,7 @@
     }
     events_->after(way_ms, [this, speaker, listener, news] {
       for (const auto& one : *news) {
-        at(listener).directory_.hear(at(speaker).vm_, one);
+        at(listener).directory_.apply_peer_report(at(speaker).vm_, one);
       }
     });
   }
@@ -76,7 +77,7 @@
 
 auto daemon_group::look(int index) -> void {
   at(index).take_views();
-  at(index).directory_.find_stalled();
+  at(index).directory_.detect_stalled();
   events_->after(look_gap_ms, [this, index] { look(index); });
 }
 
--- a/fleet_model/fleet_model.cpp
+++ b/fleet_model/fleet_model.cpp
@@ -208,7 +208,7 @@
     if (!one->tool_) {
       figures_.note_prompt(one->wish_.prompt_tokens_, value(choice).cached_tokens_);
     }
-    auto sent_at = daemon.directory_.begin(*target, one->wish_);
+    auto sent_at = daemon.directory_.record_sent(*target, one->wish_);
     const auto& place = upstreams_.at(target->entry().id_);
     figures_.note_offer(place, events_.now_ms());
     if (daemon.cut_) {
@@ -228,7 +228,7 @@
   auto end_offer(const try_pointer& one, upstream& target, milliseconds sent_at, upstream_outcome evidence)
       -> void {
     one->wish_.excluded_.insert(target.entry().id_);
-    daemon_of(*one).directory_.end(target, sent_at, evidence);
+    daemon_of(*one).directory_.record_finished(target, sent_at, evidence);
   }
 
   auto arrive(const try_pointer& one, const upstream_pointer& target, milliseconds sent_at) -> void {
@@ -237,7 +237,7 @@
     auto lost = source_.chance() < place.lost_share_;
     request.on_first_ = [this, one, target, sent_at, lost] {
       if (!lost && !daemon_of(*one).cut_) {
-        daemon_of(*one).directory_.answered(*target, sent_at);
+        daemon_of(*one).directory_.record_response_started(*target, sent_at);
       }
     };
     request.on_done_ = [this, one, target, sent_at, lost] {
--- a/fleet_model/upstream_model.cpp
+++ b/fleet_model/upstream_model.cpp
@@ -46,7 +46,7 @@
     }
     auto begun = running_request{std::move(next)};
     waiting_.pop_front();
-    begun.unread_ = prompt - static_cast<double>(kept_.held(begun.request_.parts_));
+    begun.unread_ = prompt - static_cast<double>(kept_.cached_prefix_tokens(begun.request_.parts_));
     begun.left_ = begun.request_.output_tokens_;
     begun.memory_ = memory;
     memory_ += memory;
@@ -95,8 +95,8 @@
       continue;
     }
     memory_ -= next->memory_;
-    kept_.set_room(static_cast<std::int64_t>(settings_.tokens_ - memory_));
-    kept_.used(next->request_.parts_);
+    kept_.set_capacity(static_cast<std::int64_t>(settings_.tokens_ - memory_));
+    kept_.record_use(next->request_.parts_);
     done.push_back(std::move(next->request_.on_done_));
     next = running_.erase(next);
   }
--- a/unit_tests/controllers/follower_test.cpp
+++ b/unit_tests/controllers/follower_test.cpp
@@ -49,12 +49,12 @@
   fixture.rows_->put({"servers", "", "u1"}, "leaving");
   fixture.run_for(100);
   REQUIRE(fixture.directory_->find("u2") != nullptr);
-  REQUIRE_FALSE(fixture.directory_->find("u1")->takes_requests());
+  REQUIRE_FALSE(fixture.directory_->find("u1")->accepts_requests());
   auto kept = fixture.directory_->find("u2");
   fixture.rows_->remove({"servers", "", "u2"});
   fixture.run_for(100);
   REQUIRE(fixture.directory_->find("u2") == nullptr);
-  REQUIRE_FALSE(kept->takes_requests());
+  REQUIRE_FALSE(kept->accepts_requests());
 }
 
 TEST_CASE("an entry that can't be read names no upstream to use, others hold, and it may be read again") {
@@ -65,11 +65,11 @@
   fixture.run_for(100);
   REQUIRE(fixture.directory_->find("u1") == nullptr);
   REQUIRE(fixture.directory_->find("u3") == nullptr);
-  REQUIRE(fixture.directory_->find("u2")->takes_requests());
+  REQUIRE(fixture.directory_->find("u2")->accepts_requests());
   REQUIRE(fixture.follower_->unreadable() == 2);
   fixture.rows_->put({"servers", "", "u1"}, "ready");
   fixture.run_for(100);
-  REQUIRE(fixture.directory_->find("u1")->takes_requests());
+  REQUIRE(fixture.directory_->find("u1")->accepts_requests());
 }
 
 /// Load pattern: hundreds of daemons start at once before thousands of upstreams.
--- a/unit_tests/controllers/peer_feed_test.cpp
+++ b/unit_tests/controllers/peer_feed_test.cpp
@@ -179,7 +179,7 @@
     run_loop_for(fixture.loop_, 20);
   }
   fixture.rows_->put({"servers", "", "u1"}, "leaving#12");
-  auto known = [&] { return !fixture.told_->directory_->find("u1")->takes_requests(); };
+  auto known = [&] { return !fixture.told_->directory_->find("u1")->accepts_requests(); };
   CHECK(run_loop_until(fixture.loop_, known, 600));
   CHECK(fixture.told_->store_->looks_ == looks);
   CHECK(fixture.telling_->store_->looks_ > 5);
@@ -192,7 +192,7 @@
   silent.control_address_ = "127.0.0.1:" + std::to_string(free_port(fixture.loop_));
   fixture.told_->views_.hear(silent);
   fixture.rows_->put({"servers", "", "u1"}, "leaving#2");
-  auto known = [&] { return !fixture.told_->directory_->find("u1")->takes_requests(); };
+  auto known = [&] { return !fixture.told_->directory_->find("u1")->accepts_requests(); };
   CHECK(run_loop_until(fixture.loop_, known, 1000));
 }
 
--- a/unit_tests/platform/decode_test.cpp
+++ b/unit_tests/platform/decode_test.cpp
@@ -149,7 +149,8 @@
   auto packed = pack_upstream(good);
   CHECK(packed.size() < good.size() / 2);
   REQUIRE(ok(decode_upstream("i1", packed)));
-  CHECK(meaning_of(value(decode_upstream("i1", packed))) == meaning_of(value(decode_upstream("i1", good))));
+  CHECK(comparison_key(value(decode_upstream("i1", packed))) ==
+        comparison_key(value(decode_upstream("i1", good))));
   CHECK(pack_upstream(packed) == packed);
   CHECK(pack_upstream("nonsense") == "nonsense");
   CHECK(failure(decode_upstream("i1", pack_upstream("{}"))).code_ == error_code::missing_field);
--- a/unit_tests/policy/policy_test.cpp
+++ b/unit_tests/policy/policy_test.cpp
@@ -102,8 +102,8 @@
   CHECK(value(table.choose(*policy, wish, 0)).upstream_.id_ == "one");
   list[1].leaving_ = false;
   table.set_upstreams(list, {}, {});
-  table.done("one", true, 10);
-  table.done("one", true, 10);
+  table.record_finished("one", true, 10);
+  table.record_finished("one", true, 10);
   CHECK(value(table.choose(*policy, wish, 20)).upstream_.id_ == "two");
   wish.call_.avoid_ = {"two"};
   CHECK(value(table.choose(*policy, wish, 20)).upstream_.id_ == "one");
--- a/unit_tests/upstream/shared_prefixes_test.cpp
+++ b/unit_tests/upstream/shared_prefixes_test.cpp
@@ -17,8 +17,8 @@
   for (auto program = 0; program < programs; ++program) {
     auto own = prompt_part{100 + static_cast<std::uint64_t>(program), 1000};
     auto name = "p" + std::to_string(program);
-    common.note(name, {shared, own}, 1000, program * gap);
-    common.note(name, {shared, own, {100000 + own.id_, 1000}}, 1000, program * gap + gap / 2);
+    common.record(name, {shared, own}, 1000, program * gap);
+    common.record(name, {shared, own, {100000 + own.id_, 1000}}, 1000, program * gap + gap / 2);
   }
   return common;
 }
@@ -27,27 +27,27 @@
 
 TEST_CASE("a part that all programs share is expected at every engine, their own parts are not") {
   auto common = after_programs(20, 500);
-  CHECK(common.expected_tokens({shared, {110, 1000}}, room, 10000) >= 2400);
-  CHECK(common.expected_tokens({shared, {110, 1000}}, room, 10000) <= 2500);
-  CHECK(common.expected_tokens({{110, 1000}}, room, 10000) == 0);
-  CHECK(common.expected_tokens({{999, 1000}, shared}, room, 10000) == 0);  // Only behind what is held.
+  CHECK(common.expected_cached_tokens({shared, {110, 1000}}, room, 10000) >= 2400);
+  CHECK(common.expected_cached_tokens({shared, {110, 1000}}, room, 10000) <= 2500);
+  CHECK(common.expected_cached_tokens({{110, 1000}}, room, 10000) == 0);
+  CHECK(common.expected_cached_tokens({{999, 1000}, shared}, room, 10000) == 0);  // Only behind what is held.
 }
 
 TEST_CASE("turns of one program make nothing common") {
   auto common = shared_prefixes{};
   for (auto turn = 0; turn < 20; ++turn) {
-    common.note("p", {shared}, 100, turn * 300);
+    common.record("p", {shared}, 100, turn * 300);
   }
-  CHECK(common.expected_tokens({shared}, room, 6000) == 0);
+  CHECK(common.expected_cached_tokens({shared}, room, 6000) == 0);
 }
 
 TEST_CASE("a memory that is read full between two uses keeps nothing, and what nobody uses any more fades") {
   auto common = after_programs(20, 500);
-  CHECK(common.expected_tokens({shared}, 500, 10000) == 0);
+  CHECK(common.expected_cached_tokens({shared}, 500, 10000) == 0);
   for (auto program = 0; program < 60; ++program) {
-    common.note("q" + std::to_string(program), {{7, 2500}}, 5000, 10000 + program * 500);
+    common.record("q" + std::to_string(program), {{7, 2500}}, 5000, 10000 + program * 500);
   }
-  CHECK(common.expected_tokens({shared}, room, 40000) == 0);
+  CHECK(common.expected_cached_tokens({shared}, room, 40000) == 0);
 }
 
 TEST_CASE("a daemon that met a shared part at one engine only does not queue there") {
@@ -80,9 +80,9 @@
   };
   for (auto request = 0; request < 12; ++request) {
     next_program();
-    auto began = directory.begin(*met, wish);
+    auto began = directory.record_sent(*met, wish);
     clock->advance(300);
-    directory.end(*met, began, upstream_outcome::served);
+    directory.record_finished(*met, began, upstream_outcome::served);
   }
   directory.set_running_elsewhere("u1", 5);
   next_program();
--- a/unit_tests/upstream/upstream_directory_test.cpp
+++ b/unit_tests/upstream/upstream_directory_test.cpp
@@ -72,8 +72,8 @@
   auto fixture = directory_fixture{};
   auto wish = wish_for({{1, 2000}, {2, 500}});
   auto first = fixture.directory_.find("u2");
-  auto began = fixture.directory_.begin(*first, wish);
-  fixture.directory_.end(*first, began, upstream_outcome::served);
+  auto began = fixture.directory_.record_sent(*first, wish);
+  fixture.directory_.record_finished(*first, began, upstream_outcome::served);
   for (auto seed = 0U; seed < 8; ++seed) {
     wish.seed_ = seed;
     REQUIRE(fixture.chosen(wish) == "u2");
@@ -85,7 +85,7 @@
   auto wish = wish_for({{1, 500}});
   auto busy = fixture.directory_.find("u2");
   for (auto number = 0; number < 30; ++number) {
-    fixture.directory_.begin(*busy, wish);
+    fixture.directory_.record_sent(*busy, wish);
   }
   REQUIRE(fixture.chosen(wish) == "u1");
 }
@@ -95,8 +95,8 @@
   auto wish = wish_for({});
   auto bad = fixture.directory_.find("u1");
   for (auto failures = 0; failures < 2; ++failures) {
-    auto began = fixture.directory_.begin(*bad, wish);
-    fixture.directory_.end(*bad, began, upstream_outcome::failed);
+    auto began = fixture.directory_.record_sent(*bad, wish);
+    fixture.directory_.record_finished(*bad, began, upstream_outcome::failed);
   }
   for (auto seed = 0U; seed < 8; ++seed) {
     wish.seed_ = seed;
@@ -113,7 +113,7 @@
   auto wish = wish_for({});
   auto busy = fixture.directory_.find("u2");
   for (auto number = 0; number < 2; ++number) {
-    fixture.directory_.begin(*busy, wish);
+    fixture.directory_.record_sent(*busy, wish);
     fixture.directory_.set_running_elsewhere("u1", 3);
   }
   REQUIRE(fixture.chosen(wish) == "u2");
@@ -124,25 +124,26 @@
 TEST_CASE("failures that peers tell count like own ones, and so does that it serves again") {
   auto fixture = directory_fixture{};
   auto told = std::vector<upstream_health_report>{};
-  fixture.directory_.on_news([&](const upstream_health_report& news) { told.push_back(news); });
+  fixture.directory_.on_health_report([&](const upstream_health_report& news) { told.push_back(news); });
   auto wish = wish_for({});
   auto good = fixture.directory_.find("u2");
-  auto began = fixture.directory_.begin(*good, wish);
-  fixture.directory_.answered(*good, began);  // Without it this daemon's own link could be the cause.
-  fixture.directory_.end(*good, began, upstream_outcome::served);
+  auto began = fixture.directory_.record_sent(*good, wish);
+  fixture.directory_.record_response_started(*good,
+                                             began);  // Without it this daemon's own link could be the cause.
+  fixture.directory_.record_finished(*good, began, upstream_outcome::served);
   auto bad = fixture.directory_.find("u1");
-  began = fixture.directory_.begin(*bad, wish);
-  fixture.directory_.end(*bad, began, upstream_outcome::failed);
+  began = fixture.directory_.record_sent(*bad, wish);
+  fixture.directory_.record_finished(*bad, began, upstream_outcome::failed);
   REQUIRE(told.size() == 1);
   REQUIRE(told[0].failed_);
-  fixture.directory_.hear("vm-2", {"u1", true});
-  fixture.directory_.hear("vm-2", {"unknown", true});
+  fixture.directory_.apply_peer_report("vm-2", {"u1", true});
+  fixture.directory_.apply_peer_report("vm-2", {"unknown", true});
   REQUIRE(told.size() == 1);  // What is heard is not told on.
   for (auto seed = 0U; seed < 8; ++seed) {
     wish.seed_ = seed;
     REQUIRE(fixture.chosen(wish) == "u2");
   }
-  fixture.directory_.hear("vm-2", {"u1", false});
+  fixture.directory_.apply_peer_report("vm-2", {"u1", false});
   auto used = std::set<std::string>{};
   for (auto seed = 0U; seed < 8; ++seed) {
     wish.seed_ = seed;
@@ -167,59 +168,59 @@
   };
   for (const auto* id : {"u1", "u2", "u3"}) {
     for (const auto* peer : {"vm-2", "vm-3", "vm-4"}) {
-      fixture.directory_.hear(peer, {id, true});
+      fixture.directory_.apply_peer_report(peer, {id, true});
     }
   }
   REQUIRE(choices() == 2);
   for (const auto* peer : {"vm-2", "vm-3", "vm-4"}) {
-    fixture.directory_.hear(peer, {"u4", true});
+    fixture.directory_.apply_peer_report(peer, {"u4", true});
   }
   REQUIRE(choices() == 5);
 }
 
 TEST_CASE("an avoidance grows with failures that follow it, not with those sent before it") {
   auto health = upstream_health{};
-  CHECK_FALSE(health.note_failure(10000));
-  CHECK(health.note_failure(10010));
+  CHECK_FALSE(health.record_failure(10000));
+  CHECK(health.record_failure(10010));
   CHECK(health.avoid_until() == 10510);
-  CHECK_FALSE(health.note_failure(10020));  // Was under way.
+  CHECK_FALSE(health.record_failure(10020));  // Was under way.
   CHECK(health.avoid_until() == 10510);
-  CHECK(health.note_failure(10600));
+  CHECK(health.record_failure(10600));
   CHECK(health.avoid_until() == 11600);
-  CHECK(health.note_success());
+  CHECK(health.record_success());
   CHECK_FALSE(health.avoided(10700));
 }
 
 TEST_CASE("failures that lie far apart do not add up") {
   auto health = upstream_health{};
   for (auto now = milliseconds{10000}; now < 60000; now += 2000) {
-    CHECK_FALSE(health.note_failure(now));
+    CHECK_FALSE(health.record_failure(now));
   }
 }
 
 TEST_CASE("an upstream hangs when requests wait and nothing was answered for long") {
   auto health = upstream_health{};
-  health.note_sent(10000);
-  health.note_sent(10900);
-  CHECK_FALSE(health.note_stall(11400));
-  health.note_answered(10900, 11450);
-  CHECK_FALSE(health.note_stall(11600));  // It answers others.
-  CHECK(health.note_stall(13000));
+  health.record_sent(10000);
+  health.record_sent(10900);
+  CHECK_FALSE(health.detect_stall(11400));
+  health.record_response(10900, 11450);
+  CHECK_FALSE(health.detect_stall(11600));  // It answers others.
+  CHECK(health.detect_stall(13000));
   CHECK(health.avoided(13100));
-  CHECK_FALSE(health.note_stall(13100));
-  health.note_given_up(10000);
-  CHECK_FALSE(health.note_stall(20000));
+  CHECK_FALSE(health.detect_stall(13100));
+  health.remove_pending(10000);
+  CHECK_FALSE(health.detect_stall(20000));
 }
 
 TEST_CASE("the view of a cache holds leading parts only and forgets the oldest") {
   auto cache = prompt_cache{};
-  cache.set_room(1000);
-  cache.used({{1, 400}, {2, 300}});
-  REQUIRE(cache.held({{1, 400}, {2, 300}, {3, 10}}) == 700);
-  REQUIRE(cache.held({{3, 10}, {1, 400}}) == 0);
-  cache.used({{4, 600}});
-  REQUIRE(cache.held({{4, 600}}) == 600);
-  REQUIRE(cache.held({{1, 400}}) == 0);
+  cache.set_capacity(1000);
+  cache.record_use({{1, 400}, {2, 300}});
+  REQUIRE(cache.cached_prefix_tokens({{1, 400}, {2, 300}, {3, 10}}) == 700);
+  REQUIRE(cache.cached_prefix_tokens({{3, 10}, {1, 400}}) == 0);
+  cache.record_use({{4, 600}});
+  REQUIRE(cache.cached_prefix_tokens({{4, 600}}) == 600);
+  REQUIRE(cache.cached_prefix_tokens({{1, 400}}) == 0);
   REQUIRE(cache.tokens() <= 1000);
 }
 
--- a/unit_tests/upstream/upstream_start_test.cpp
+++ b/unit_tests/upstream/upstream_start_test.cpp
@@ -61,20 +61,20 @@
   auto wish = plain_wish();
   wish.parts_ = {{1, 500}};
   wish.cache_capacity_ = 10000;
-  auto began = fixture.directory_.begin(*former, wish);
+  auto began = fixture.directory_.record_sent(*former, wish);
   auto told = 0;
   former->on_replaced([&told] { ++told; });
   fixture.directory_.put(entry_in("u1", "a", 2000));
   auto latter = fixture.directory_.find("u1");
   REQUIRE(told == 1);
   REQUIRE(latter != former);
-  CHECK_FALSE(former->takes_requests());
+  CHECK_FALSE(former->accepts_requests());
   CHECK(latter->running() == 0);
   for (auto failures = 0; failures < 3; ++failures) {
-    fixture.directory_.hear("vm-2", {"u1", true, 1000});
-    fixture.directory_.hear("vm-3", {"u1", true, 1000});
+    fixture.directory_.apply_peer_report("vm-2", {"u1", true, 1000});
+    fixture.directory_.apply_peer_report("vm-3", {"u1", true, 1000});
   }
-  fixture.directory_.end(*former, began, upstream_outcome::failed);
+  fixture.directory_.record_finished(*former, began, upstream_outcome::failed);
   CHECK(latter->health().weight() == 0);
   fixture.directory_.put(entry_in("u1", "a", 1000));  // Told late.
   CHECK(fixture.directory_.find("u1") == latter);
@@ -83,21 +83,21 @@
 TEST_CASE("failures at a former start are no news for peers, those at the latter are") {
   auto fixture = start_fixture{};
   auto told = std::vector<upstream_health_report>{};
-  fixture.directory_.on_news([&told](const upstream_health_report& news) { told.push_back(news); });
+  fixture.directory_.on_health_report([&told](const upstream_health_report& news) { told.push_back(news); });
   fixture.directory_.put(entry_in("u1", "a", 1000));
   fixture.directory_.put(entry_in("u2", "a", 1000));
   auto answering = fixture.directory_.find("u2");
   auto former = fixture.directory_.find("u1");
-  auto began = fixture.directory_.begin(*former, plain_wish());
+  auto began = fixture.directory_.record_sent(*former, plain_wish());
   fixture.directory_.put(entry_in("u1", "a", 2000));
-  auto answered = fixture.directory_.begin(*answering, plain_wish());
-  fixture.directory_.answered(*answering, answered);
-  fixture.directory_.end(*answering, answered, upstream_outcome::served);
-  fixture.directory_.end(*former, began, upstream_outcome::failed);
+  auto answered = fixture.directory_.record_sent(*answering, plain_wish());
+  fixture.directory_.record_response_started(*answering, answered);
+  fixture.directory_.record_finished(*answering, answered, upstream_outcome::served);
+  fixture.directory_.record_finished(*former, began, upstream_outcome::failed);
   CHECK(told.empty());
   auto latter = fixture.directory_.find("u1");
-  began = fixture.directory_.begin(*latter, plain_wish());
-  fixture.directory_.end(*latter, began, upstream_outcome::failed);
+  began = fixture.directory_.record_sent(*latter, plain_wish());
+  fixture.directory_.record_finished(*latter, began, upstream_outcome::failed);
   REQUIRE(told.size() == 1);
   CHECK(told[0].born_ == 2000);
 }
@@ -134,7 +134,7 @@
   fixture.directory_.put(entry_in("u3", "c"));
   auto waiting_for = fixture.directory_.find("u1");
   fixture.directory_.close_halls({"a", "b"});
-  CHECK_FALSE(waiting_for->takes_requests());
+  CHECK_FALSE(waiting_for->accepts_requests());
   fixture.directory_.put(entry_in("u4", "b"));  // Starts meanwhile.
   for (auto seed = 0U; seed < 8; ++seed) {
     CHECK(fixture.chosen(plain_wish(seed)) == "u3");
@@ -185,8 +185,8 @@
       daemon->clock_->advance(step);
       if (!daemon->chosen(wish).empty()) {
         auto one = daemon->directory_.find("u1");
-        auto began = daemon->directory_.begin(*one, wish);
-        daemon->directory_.end(*one, began, upstream_outcome::served);
+        auto began = daemon->directory_.record_sent(*one, wish);
+        daemon->directory_.record_finished(*one, began, upstream_outcome::served);
         sent.push_back(now);
       }
     }
@@ -286,7 +286,7 @@
     auto wish = plain_wish(request * 0x9e3779b97f4a7c15U);
     auto choice = fixture.directory_.choose(*fixture.policy_, wish);
     REQUIRE(ok(choice));
-    fixture.directory_.begin(*value(choice).chosen_, wish);
+    fixture.directory_.record_sent(*value(choice).chosen_, wish);
     most = std::max(most, value(choice).chosen_->running());
   }
   CHECK(most <= 1.34 * requests / upstreams);  // Whole requests: four where three are the mean.
