--- a/birchlever/accounts/account_registry.cpp
+++ b/birchlever/accounts/account_registry.cpp
@@ -15,8 +15,8 @@
   if (account.name_.empty()) {
     return invalid("account without a name");
   }
-  auto sound = [](double number) { return std::isfinite(number) && number >= 0; };
-  if (!sound(account.allotment_.rate_per_s_) || !sound(account.allotment_.burst_)) {
+  auto valid = [](double number) { return std::isfinite(number) && number >= 0; };
+  if (!valid(account.allotment_.rate_per_s_) || !valid(account.allotment_.burst_)) {
     return invalid("account " + account.name_ + " has a negative rate or burst");
   }
   return success;
@@ -26,10 +26,10 @@
 
 auto account_registry::add_keys_of(std::size_t index) -> status {
   for (const auto& digest : accounts_[index].key_digests_) {
-    auto [place, added] = by_digest_.emplace(digest, index);
-    if (!added && place->second != index) {
+    auto [entry, added] = by_digest_.emplace(digest, index);
+    if (!added && entry->second != index) {
       return invalid("key " + abbreviated_digest(digest) + " is assigned to two accounts: " +
-                     accounts_[place->second].name_ + " and " + accounts_[index].name_);
+                     accounts_[entry->second].name_ + " and " + accounts_[index].name_);
     }
   }
   return success;
@@ -37,23 +37,23 @@
 
 auto account_registry::create(std::vector<client_account> accounts)
     -> result<std::shared_ptr<const account_registry>> {
-  auto made = std::shared_ptr<account_registry>{new account_registry{}};
-  made->accounts_ = std::move(accounts);
-  for (auto index = std::size_t{0}; index < made->accounts_.size(); ++index) {
-    const auto& account = made->accounts_[index];
+  auto registry = std::shared_ptr<account_registry>{new account_registry{}};
+  registry->accounts_ = std::move(accounts);
+  for (auto index = std::size_t{0}; index < registry->accounts_.size(); ++index) {
+    const auto& account = registry->accounts_[index];
     auto checked = check(account);
     if (!ok(checked)) {
       return failure(checked);
     }
-    if (!made->by_name_.emplace(account.name_, index).second) {
+    if (!registry->by_name_.emplace(account.name_, index).second) {
       return invalid("account " + account.name_ + " is defined twice");
     }
-    auto added = made->add_keys_of(index);
+    auto added = registry->add_keys_of(index);
     if (!ok(added)) {
       return failure(added);
     }
   }
-  return std::shared_ptr<const account_registry>{std::move(made)};
+  return std::shared_ptr<const account_registry>{std::move(registry)};
 }
 
 auto account_registry::find_by_key_digest(const std::string& key_digest) const -> const client_account* {
--- a/birchlever/accounts/account_usage.cpp
+++ b/birchlever/accounts/account_usage.cpp
@@ -9,7 +9,7 @@
 namespace birchlever {
 namespace {
 
-constexpr auto rest_name = "(others)";
+constexpr auto others_name = "(others)";
 
 auto keys_line(const client_account& account) -> std::string {
   auto text = std::ostringstream{};
@@ -24,39 +24,40 @@
 }  // namespace
 
 auto account_usage::record(const std::string& account, int status) -> void {
-  auto& known = accounts_[account];
-  ++known.asked_;
-  ++known.by_status_[status];
+  auto& entry = accounts_[account];
+  ++entry.requests_;
+  ++entry.by_status_[status];
 }
 
-auto account_usage::add(counts& sum, const counts& one) -> void {
-  sum.asked_ += one.asked_;
-  for (const auto& [status, count] : one.by_status_) {
+auto account_usage::add(counts& sum, const counts& added) -> void {
+  sum.requests_ += added.requests_;
+  for (const auto& [status, count] : added.by_status_) {
     sum.by_status_[status] += count;
   }
 }
 
-auto account_usage::to_prometheus(const account_registry* book, std::size_t most) const -> std::string {
+auto account_usage::to_prometheus(const account_registry* registry, std::size_t max_accounts) const
+    -> std::string {
   auto order = std::vector<std::pair<std::string, counts>>{accounts_.begin(), accounts_.end()};
-  std::sort(order.begin(), order.end(), [](const auto& one, const auto& other) {
-    return one.second.asked_ > other.second.asked_ ||
-           (one.second.asked_ == other.second.asked_ && one.first < other.first);
+  std::sort(order.begin(), order.end(), [](const auto& left, const auto& right) {
+    return left.second.requests_ > right.second.requests_ ||
+           (left.second.requests_ == right.second.requests_ && left.first < right.first);
   });
-  auto rest = counts{};
-  for (auto index = most; index < order.size(); ++index) {
-    add(rest, order[index].second);
+  auto others = counts{};
+  for (auto index = max_accounts; index < order.size(); ++index) {
+    add(others, order[index].second);
   }
-  order.resize(std::min(order.size(), most));
-  if (rest.asked_ > 0) {
-    order.emplace_back(rest_name, std::move(rest));
+  order.resize(std::min(order.size(), max_accounts));
+  if (others.requests_ > 0) {
+    order.emplace_back(others_name, std::move(others));
   }
   auto text = std::ostringstream{};
-  for (const auto& [name, known] : order) {
-    for (const auto& [status, count] : known.by_status_) {
+  for (const auto& [name, entry] : order) {
+    for (const auto& [status, count] : entry.by_status_) {
       text << "account_requests_total{account=\"" << name << "\",status=\"" << status << "\"} " << count
            << '\n';
     }
-    const auto* account = book == nullptr ? nullptr : book->find(name);
+    const auto* account = registry == nullptr ? nullptr : registry->find(name);
     text << (account == nullptr ? std::string{} : keys_line(*account));
   }
   return text.str();
--- a/birchlever/accounts/account_usage.h
+++ b/birchlever/accounts/account_usage.h
@@ -16,17 +16,19 @@
   /// Records a finished request. `status` is 0 if no status was sent to the caller.
   auto record(const std::string& account, int status) -> void;
 
-  /// Returns the counters in Prometheus text format: the `most` accounts with the most requests, each with
-  /// its requests by status and its abbreviated key digests, and the sum of all others. `book` may be null.
-  [[nodiscard]] auto to_prometheus(const account_registry* book, std::size_t most) const -> std::string;
+  /// Returns the counters in Prometheus text format: the `max_accounts` accounts with the most requests, each
+  /// with its requests by status and its abbreviated key digests, and the sum of all others. `registry` may
+  /// be null.
+  [[nodiscard]] auto to_prometheus(const account_registry* registry, std::size_t max_accounts) const
+      -> std::string;
 
  private:
   struct counts {
-    std::int64_t asked_ = 0;
+    std::int64_t requests_ = 0;
     std::map<int, std::int64_t> by_status_;
   };
 
-  static auto add(counts& sum, const counts& one) -> void;
+  static auto add(counts& sum, const counts& added) -> void;
 
   std::unordered_map<std::string, counts> accounts_;
 };
--- a/birchlever/accounts/allotment_bucket.h
+++ b/birchlever/accounts/allotment_bucket.h
@@ -32,12 +32,12 @@
 
   /// Grants or refuses a claim. `share` is the fraction of the allotment that may be granted here, 0 to 1.
   /// Unless `may_overdraw` is set, the overdraft is not available to started programs.
-  auto claim(const allotment_claim& wanted, double share, milliseconds now, bool may_overdraw = true)
+  auto claim(const allotment_claim& request, double share, milliseconds now, bool may_overdraw = true)
       -> allotment_decision;
 
   /// Restarts the bucket with at most this fraction of the burst, since other daemons may have granted
   /// requests meanwhile.
-  auto reopen(const account_allotment& allotment, double part, milliseconds now) -> void;
+  auto restart(const account_allotment& allotment, double share, milliseconds now) -> void;
 
   /// Deducts requests that another daemon granted.
   auto debit(double tokens) -> void { level_ -= tokens; }
@@ -50,15 +50,15 @@
 
  private:
   auto refill(const account_allotment& allotment, double share, milliseconds now) -> void;
-  auto grant_start(const allotment_claim& wanted, double rate_per_ms) -> allotment_decision;
-  auto grant_later(double rate_per_ms, double overdraft) -> allotment_decision;
-  [[nodiscard]] auto refused(double missing, double rate_per_ms) const -> allotment_decision;
+  auto grant_start(const allotment_claim& request, double rate_per_ms) -> allotment_decision;
+  auto grant_request(double rate_per_ms, double overdraft) -> allotment_decision;
+  [[nodiscard]] auto refuse(double deficit, double rate_per_ms) const -> allotment_decision;
 
   allotment_bucket_settings settings_;
   double level_ = 0;
   double committed_ = 0;
   double mean_program_ms_ = 0;  ///< Moving average of the duration of programs started here.
-  std::optional<milliseconds> filled_at_;
+  std::optional<milliseconds> refilled_at_;
 };
 
 }  // namespace birchlever
--- a/birchlever/accounts/allotment_grantor.h
+++ b/birchlever/accounts/allotment_grantor.h
@@ -11,11 +11,10 @@
 /// Settings of allotment_grantor. Times in ms.
 struct allotment_grantor_settings {
   allotment_bucket_settings buckets_;
-  double max_new_backup_share_ =
-      0.5;  ///< Maximum fraction of the allotment that a new backup grantor grants,
-            ///< since the primary may still be granting behind a network partition.
-  milliseconds partition_detection_ =
-      1200;                         ///< Duration of that limit; by then a partition has been detected.
+  /// Maximum fraction of the allotment that a new backup grantor grants, since the primary may still be
+  /// granting behind a network partition.
+  double max_new_backup_share_ = 0.5;
+  milliseconds partition_detection_ = 1200;  ///< Duration of that limit; a partition is detected by then.
   milliseconds idle_reset_ = 2000;  ///< Time without claims after which the bucket is restarted, since
                                     ///< another daemon may have granted meanwhile.
 };
@@ -25,24 +24,24 @@
  public:
   explicit allotment_grantor(const allotment_grantor_settings& settings = {}) : settings_{settings} {}
 
-  /// Grants or refuses a claim. `share` is the reachable fraction of the fleet, `first` is set if this daemon
-  /// is the account's primary grantor, and `granted_alone` is the number of requests that the requesting
-  /// daemon forwarded without a grantor.
-  auto claim(const allotment_claim& wanted, double share, bool first, double granted_alone, milliseconds now)
-      -> allotment_decision;
+  /// Grants or refuses a claim. `share` is the reachable fraction of the fleet, `primary` is set if this
+  /// daemon is the account's primary grantor, and `granted_locally` is the number of requests that the
+  /// requesting daemon forwarded without a grantor.
+  auto claim(const allotment_claim& request, double share, bool primary, double granted_locally,
+             milliseconds now) -> allotment_decision;
 
   /// Deducts requests of the account that another daemon granted.
   auto debit(const std::string& account, double tokens) -> void;
 
  private:
-  struct counter {
+  struct account_state {
     allotment_bucket bucket_;
-    milliseconds since_ = 0;    ///< Start of the current sequence of claims.
-    milliseconds claimed_ = 0;  ///< Time of the latest claim.
+    milliseconds started_at_ = 0;     ///< Start of the current sequence of claims.
+    milliseconds last_claim_at_ = 0;  ///< Time of the latest claim.
   };
 
   allotment_grantor_settings settings_;
-  std::unordered_map<std::string, counter> counters_;
+  std::unordered_map<std::string, account_state> accounts_;
 };
 
 }  // namespace birchlever
--- a/birchlever/accounts/equal_shares.h
+++ b/birchlever/accounts/equal_shares.h
@@ -29,23 +29,23 @@
                std::shared_ptr<const clock_interface> clock)
       : settings_{settings}, daemons_{std::move(daemons)}, clock_{std::move(clock)} {}
 
-  auto claim(allotment_claim wanted) -> task<allotment_decision> override;
+  auto claim(allotment_claim request) -> task<allotment_decision> override;
 
   /// Synchronous form of claim().
-  auto decide(const allotment_claim& wanted) -> allotment_decision;
+  auto decide(const allotment_claim& request) -> allotment_decision;
 
   /// Records a request that another daemon granted and this daemon forwards.
   auto record_granted(const std::string& account) -> void;
 
  private:
-  using moments = std::deque<milliseconds>;
+  using grant_times = std::deque<milliseconds>;
 
-  auto recent(const std::string& account) -> moments&;
+  auto recent_grants(const std::string& account) -> grant_times&;
 
   equal_shares_settings settings_;
   count_function daemons_;
   std::shared_ptr<const clock_interface> clock_;
-  std::unordered_map<std::string, moments> granted_;  ///< Grant times within the window, by account.
+  std::unordered_map<std::string, grant_times> granted_;  ///< Grant times within the window, by account.
 };
 
 }  // namespace birchlever
--- a/birchlever/accounts/grantor_order.h
+++ b/birchlever/accounts/grantor_order.h
@@ -43,17 +43,17 @@
   auto record_unresponsive(const std::string& vm, milliseconds now) -> void;
 
   /// Records a message from a daemon, which ends its backoff.
-  auto record_seen(const std::string& vm) -> void { silent_.erase(vm); }
+  auto record_seen(const std::string& vm) -> void { unresponsive_.erase(vm); }
 
  private:
-  struct silence {
-    int times_ = 0;
+  struct backoff {
+    int failures_ = 0;
     milliseconds until_ = 0;
   };
 
   grantor_order_settings settings_;
   std::vector<std::string> members_;
-  std::unordered_map<std::string, silence> silent_;
+  std::unordered_map<std::string, backoff> unresponsive_;
 };
 
 }  // namespace birchlever
--- a/birchlever/accounts/key_digest.cpp
+++ b/birchlever/accounts/key_digest.cpp
@@ -7,7 +7,7 @@
 namespace birchlever {
 namespace {
 
-constexpr auto shown_letters = std::size_t{8};
+constexpr auto abbreviated_length = std::size_t{8};
 
 }  // namespace
 
@@ -25,7 +25,7 @@
 }
 
 auto abbreviated_digest(std::string_view digest) -> std::string {
-  return std::string{digest.substr(0, shown_letters)};
+  return std::string{digest.substr(0, abbreviated_length)};
 }
 
 }  // namespace birchlever
--- a/birchlever/accounts/program_size_estimate.h
+++ b/birchlever/accounts/program_size_estimate.h
@@ -8,8 +8,8 @@
 /// Ratio of two exponentially decaying counters.
 class program_size_estimate {
  public:
-  /// Records a request. `begins` is set for the first request of a program.
-  auto record(bool begins, milliseconds now) -> void;
+  /// Records a request. `starts_program` is set for the first request of a program.
+  auto record(bool starts_program, milliseconds now) -> void;
 
   /// Returns the mean number of requests per program, at least 1.
   [[nodiscard]] auto mean_requests() const -> double;
@@ -17,7 +17,7 @@
  private:
   double requests_ = 100;  ///< Decaying counters; the initial values assume ten requests per program.
   double programs_ = 10;
-  milliseconds noted_at_ = 0;
+  milliseconds updated_at_ = 0;
 };
 
 }  // namespace birchlever
--- a/birchlever/policy/baseline_policies.cpp
+++ b/birchlever/policy/baseline_policies.cpp
@@ -8,7 +8,7 @@
 namespace birchlever {
 namespace {
 
-auto no_engine() -> error {
+auto no_eligible_engine() -> error {
   return error{error_code::no_upstream, "no eligible engine is available for this call", ran_state::not_run,
                1000};
 }
@@ -19,7 +19,8 @@
 
 /// Returns the eligible engines with their load as cost. The seed selects the starting index, which breaks
 /// ties.
-auto weigh_by_load(const call_view& call, const std::vector<engine_view>& engines) -> std::vector<candidate> {
+auto eligible_by_load(const call_view& call, const std::vector<engine_view>& engines)
+    -> std::vector<candidate> {
   auto candidates = std::vector<candidate>{};
   for (auto step = std::size_t{0}; step < engines.size(); ++step) {
     auto index = (call.seed_ + step) % engines.size();
@@ -30,9 +31,9 @@
   return candidates;
 }
 
-auto cheapest(std::vector<candidate> candidates) -> result<decision> {
+auto lowest_cost(std::vector<candidate> candidates) -> result<decision> {
   if (candidates.empty()) {
-    return no_engine();
+    return no_eligible_engine();
   }
   auto by_cost = [](const candidate& left, const candidate& right) { return left.cost_ < right.cost_; };
   auto best = std::min_element(candidates.begin(), candidates.end(), by_cost);
@@ -60,9 +61,9 @@
 
 auto round_robin_policy::choose(const call_view& call, const std::vector<engine_view>& engines) const
     -> result<decision> {
-  auto candidates = weigh_by_load(call, engines);
+  auto candidates = eligible_by_load(call, engines);
   if (candidates.empty()) {
-    return no_engine();
+    return no_eligible_engine();
   }
   auto first = candidates.front().engine_;
   return decision{first, 0, std::move(candidates)};
@@ -70,33 +71,33 @@
 
 auto least_loaded_policy::choose(const call_view& call, const std::vector<engine_view>& engines) const
     -> result<decision> {
-  auto candidates = weigh_by_load(call, engines);
-  for (auto& one : candidates) {
-    const auto& engine = engines[one.engine_];
-    one.cost_ -= engine.connected_ ? connection_worth_ / std::max(1.0, engine.capacity_) : 0;
+  auto candidates = eligible_by_load(call, engines);
+  for (auto& entry : candidates) {
+    const auto& engine = engines[entry.engine_];
+    entry.cost_ -= engine.connected_ ? connection_credit_ / std::max(1.0, engine.capacity_) : 0;
   }
-  return cheapest(std::move(candidates));
+  return lowest_cost(std::move(candidates));
 }
 
 auto prefix_affinity_policy::choose(const call_view& call, const std::vector<engine_view>& engines) const
     -> result<decision> {
-  auto candidates = weigh_by_load(call, engines);
+  auto candidates = eligible_by_load(call, engines);
   auto total = 0.0;
-  for (const auto& one : candidates) {
-    total += one.cost_;
+  for (const auto& entry : candidates) {
+    total += entry.cost_;
   }
   auto mean = candidates.empty() ? 0.0 : total / static_cast<double>(candidates.size());
-  auto limit = std::max(1.0, mean * overload_);
+  auto limit = std::max(1.0, mean * overload_factor_);
   auto best = candidates.end();
   for (auto next = candidates.begin(); next != candidates.end(); ++next) {
-    auto held = call.cached_tokens_[next->engine_];
-    auto fits = held > 0 && next->cost_ <= limit;
-    if (fits && (best == candidates.end() || held > call.cached_tokens_[best->engine_])) {
+    auto cached = call.cached_tokens_[next->engine_];
+    auto fits = cached > 0 && next->cost_ <= limit;
+    if (fits && (best == candidates.end() || cached > call.cached_tokens_[best->engine_])) {
       best = next;
     }
   }
   if (best == candidates.end()) {
-    return cheapest(std::move(candidates));
+    return lowest_cost(std::move(candidates));
   }
   auto chosen = best->engine_;
   return decision{chosen, 0, std::move(candidates)};
@@ -105,9 +106,10 @@
 auto least_attained_service_policy::choose(const call_view& call,
                                            const std::vector<engine_view>& engines) const
     -> result<decision> {
-  auto chosen = cheapest(weigh_by_load(call, engines));
+  auto chosen = lowest_cost(eligible_by_load(call, engines));
   if (ok(chosen)) {
-    value(chosen).priority_ = static_cast<int>(static_cast<double>(call.attained_tokens_) / step_);
+    value(chosen).priority_ =
+        static_cast<int>(static_cast<double>(call.attained_tokens_) / tokens_per_level_);
   }
   return chosen;
 }
@@ -117,25 +119,25 @@
   if (!ok(checked)) {
     return failure(checked);
   }
-  auto made = std::unique_ptr<policy_interface>{};
+  auto policy = std::unique_ptr<policy_interface>{};
   switch (settings.kind_) {
     case policy_kind::round_robin:
-      made = std::make_unique<round_robin_policy>();
+      policy = std::make_unique<round_robin_policy>();
       break;
     case policy_kind::least_loaded:
-      made = std::make_unique<least_loaded_policy>(settings.parameter("connection"));
+      policy = std::make_unique<least_loaded_policy>(settings.parameter("connection"));
       break;
     case policy_kind::prefix_affinity:
-      made = std::make_unique<prefix_affinity_policy>(settings.parameter("overload"));
+      policy = std::make_unique<prefix_affinity_policy>(settings.parameter("overload"));
       break;
     case policy_kind::least_attained_service:
-      made = std::make_unique<least_attained_service_policy>(settings.parameter("step"));
+      policy = std::make_unique<least_attained_service_policy>(settings.parameter("step"));
       break;
     case policy_kind::program_aware:
-      made = std::make_unique<program_aware_policy>(settings);
+      policy = std::make_unique<program_aware_policy>(settings);
       break;
   }
-  return made;
+  return policy;
 }
 
 }  // namespace birchlever
--- a/birchlever/policy/baseline_policies.h
+++ b/birchlever/policy/baseline_policies.h
@@ -15,38 +15,38 @@
 /// Selects the engine with the lowest load relative to its capacity.
 class least_loaded_policy final : public policy_interface {
  public:
-  /// `connection_worth`: load, in calls, that an idle pooled connection to an engine offsets.
-  explicit least_loaded_policy(double connection_worth) : connection_worth_{connection_worth} {}
+  /// `connection_credit`: load, in calls, that an idle pooled connection to an engine offsets.
+  explicit least_loaded_policy(double connection_credit) : connection_credit_{connection_credit} {}
 
   [[nodiscard]] auto choose(const call_view& call, const std::vector<engine_view>& engines) const
       -> result<decision> override;
 
  private:
-  double connection_worth_ = 0;
+  double connection_credit_ = 0;
 };
 
 /// Selects the engine with the longest cached prefix of the prompt, unless that engine is overloaded.
 class prefix_affinity_policy final : public policy_interface {
  public:
-  explicit prefix_affinity_policy(double overload) : overload_{overload} {}
+  explicit prefix_affinity_policy(double overload_factor) : overload_factor_{overload_factor} {}
 
   [[nodiscard]] auto choose(const call_view& call, const std::vector<engine_view>& engines) const
       -> result<decision> override;
 
  private:
-  double overload_ = 0;
+  double overload_factor_ = 0;
 };
 
 /// Selects the least loaded engine and gives priority to programs that have received the least service.
 class least_attained_service_policy final : public policy_interface {
  public:
-  explicit least_attained_service_policy(double step) : step_{step} {}
+  explicit least_attained_service_policy(double tokens_per_level) : tokens_per_level_{tokens_per_level} {}
 
   [[nodiscard]] auto choose(const call_view& call, const std::vector<engine_view>& engines) const
       -> result<decision> override;
 
  private:
-  double step_ = 0;
+  double tokens_per_level_ = 0;
 };
 
 }  // namespace birchlever
--- a/birchlever/policy/policy_settings.cpp
+++ b/birchlever/policy/policy_settings.cpp
@@ -70,9 +70,9 @@
 }
 
 auto policy_settings::parameter(const std::string& name) const -> double {
-  auto given = parameters_.find(name);
-  if (given != parameters_.end()) {
-    return given->second;
+  auto found = parameters_.find(name);
+  if (found != parameters_.end()) {
+    return found->second;
   }
   for (const auto& known : parameters_of(kind_)) {
     if (known.name_ == name) {
@@ -83,24 +83,24 @@
 }
 
 auto check_policy(const policy_settings& settings) -> status {
-  auto faults = std::ostringstream{};
+  auto violations = std::ostringstream{};
   auto known = parameters_of(settings.kind_);
   for (const auto& [name, number] : settings.parameters_) {
-    auto fault = std::string{"is not a parameter of " + std::string{name_of(settings.kind_)}};
+    auto violation = std::string{"is not a parameter of " + std::string{name_of(settings.kind_)}};
     for (const auto& parameter : known) {
       if (parameter.name_ != name) {
         continue;
       }
       auto range = std::ostringstream{};
       range << "must be from " << parameter.min_ << " to " << parameter.max_;
-      fault = number >= parameter.min_ && number <= parameter.max_ ? "" : range.str();
+      violation = number >= parameter.min_ && number <= parameter.max_ ? "" : range.str();
     }
-    if (!fault.empty()) {
-      faults << (faults.tellp() > 0 ? "; " : "") << name << ' ' << fault;
+    if (!violation.empty()) {
+      violations << (violations.tellp() > 0 ? "; " : "") << name << ' ' << violation;
     }
   }
-  if (faults.tellp() > 0) {
-    return error{error_code::invalid_command, faults.str()};
+  if (violations.tellp() > 0) {
+    return error{error_code::invalid_command, violations.str()};
   }
   return success;
 }
--- a/birchlever/policy/program_aware_policy.h
+++ b/birchlever/policy/program_aware_policy.h
@@ -18,9 +18,9 @@
       -> result<decision> override;
 
  private:
-  [[nodiscard]] auto weigh(const call_view& call, const engine_view& engine, std::size_t index,
-                           double mean_load, double held_elsewhere) const -> candidate;
-  [[nodiscard]] auto believed_load(const engine_view& engine, double mean_load) const -> double;
+  [[nodiscard]] auto estimate_cost(const call_view& call, const engine_view& engine, std::size_t index,
+                                   double mean_load, double total_cached) const -> candidate;
+  [[nodiscard]] auto estimated_load(const engine_view& engine, double mean_load) const -> double;
   [[nodiscard]] auto priority_of(const call_view& call) const -> int;
 
   double prefill_per_ms_ = 0;
--- a/birchlever/upstream/hall_regions.cpp
+++ b/birchlever/upstream/hall_regions.cpp
@@ -9,9 +9,9 @@
   auto items = std::istringstream{text};
   auto item = std::string{};
   while (std::getline(items, item, ',')) {
-    auto sign = item.find('=');
-    auto named = sign != std::string::npos && sign > 0 && sign + 1 < item.size();
-    if (!named || !parsed.regions_.emplace(item.substr(0, sign), item.substr(sign + 1)).second) {
+    auto separator = item.find('=');
+    auto valid = separator != std::string::npos && separator > 0 && separator + 1 < item.size();
+    if (!valid || !parsed.regions_.emplace(item.substr(0, separator), item.substr(separator + 1)).second) {
       return error{error_code::invalid_setting,
                    "expected HALL=REGION with each hall listed once, got '" + item + "'"};
     }
@@ -30,16 +30,16 @@
   }
   auto added = std::set<std::string>{};
   for (const auto& region : allowed) {
-    if (!bound_ || allowed_.count(region) != 0) {
+    if (!constrained_ || allowed_.count(region) != 0) {
       added.insert(region);
     }
   }
-  bound_ = true;
+  constrained_ = true;
   allowed_ = std::move(added);
 }
 
 auto region_constraint::allow(const std::string& region) const -> bool {
-  return !bound_ || allowed_.count(region) != 0;
+  return !constrained_ || allowed_.count(region) != 0;
 }
 
 }  // namespace birchlever
--- a/birchlever/upstream/hall_regions.h
+++ b/birchlever/upstream/hall_regions.h
@@ -36,7 +36,7 @@
   [[nodiscard]] auto allow(const std::string& region) const -> bool;
 
  private:
-  bool bound_ = false;
+  bool constrained_ = false;
   std::set<std::string> allowed_;
 };
 
--- a/birchlever/upstream/local_link.cpp
+++ b/birchlever/upstream/local_link.cpp
@@ -4,31 +4,31 @@
 
 auto local_link::record_response(const std::string& upstream, milliseconds sent_at, milliseconds now)
     -> void {
-  auto silent = now - last_answer_.at_ > settings_.proof_duration_;
-  auto waited_too = now - sent_at > settings_.proof_duration_;
-  if (silent && (waited_too || !failed_unanswered_.empty())) {
+  auto response_overdue = now - last_response_.at_ > settings_.proof_duration_;
+  auto request_waited = now - sent_at > settings_.proof_duration_;
+  if (response_overdue && (request_waited || !failed_since_response_.empty())) {
     healthy_since_ = now;
   }
-  if (upstream != last_answer_.upstream_) {
-    answer_before_ = last_answer_;
+  if (upstream != last_response_.upstream_) {
+    other_response_ = last_response_;
   }
-  last_answer_ = {upstream, now};
-  failed_unanswered_.clear();
+  last_response_ = {upstream, now};
+  failed_since_response_.clear();
 }
 
 auto local_link::record_failure(const std::string& upstream, milliseconds now) -> void {
-  failed_unanswered_.insert(upstream);
+  failed_since_response_.insert(upstream);
   while (!failures_.empty() && now - failures_.front().at_ > settings_.failure_window_) {
     failures_.pop_front();
   }
   failures_.push_back({upstream, now});
 }
 
-auto local_link::failing_at_once(milliseconds now) const -> std::size_t {
+auto local_link::count_recent_failures(milliseconds now) const -> std::size_t {
   auto failing = std::set<std::string>{};
-  for (const auto& one : failures_) {
-    if (now - one.at_ <= settings_.failure_window_) {
-      failing.insert(one.upstream_);
+  for (const auto& entry : failures_) {
+    if (now - entry.at_ <= settings_.failure_window_) {
+      failing.insert(entry.upstream_);
     }
   }
   return failing.size();
@@ -36,11 +36,12 @@
 
 auto local_link::status_for(const std::string& upstream, milliseconds sent_at, milliseconds now) const
     -> link_status {
-  auto most = static_cast<std::size_t>(settings_.max_failing_);
-  if (sent_at < healthy_since_ || failing_at_once(now) > most || failed_unanswered_.size() > most) {
+  auto limit = static_cast<std::size_t>(settings_.max_failing_);
+  if (sent_at < healthy_since_ || count_recent_failures(now) > limit ||
+      failed_since_response_.size() > limit) {
     return link_status::faulty;
   }
-  const auto& other = last_answer_.upstream_ == upstream ? answer_before_ : last_answer_;
+  const auto& other = last_response_.upstream_ == upstream ? other_response_ : last_response_;
   auto proven = other.at_ > 0 && now - other.at_ <= settings_.proof_duration_;
   return proven ? link_status::healthy : link_status::unknown;
 }
--- a/birchlever/upstream/local_link.h
+++ b/birchlever/upstream/local_link.h
@@ -42,7 +42,9 @@
       -> link_status;
 
   /// Upstreams that failed since the last response from any upstream.
-  [[nodiscard]] auto failed_unanswered() const -> const std::set<std::string>& { return failed_unanswered_; }
+  [[nodiscard]] auto failed_since_response() const -> const std::set<std::string>& {
+    return failed_since_response_;
+  }
 
   /// Time at which the link recovered; earlier requests may have been delayed by the link.
   [[nodiscard]] auto healthy_since() const -> milliseconds { return healthy_since_; }
@@ -53,13 +55,13 @@
     milliseconds at_ = 0;
   };
 
-  [[nodiscard]] auto failing_at_once(milliseconds now) const -> std::size_t;
+  [[nodiscard]] auto count_recent_failures(milliseconds now) const -> std::size_t;
 
   local_link_settings settings_;
-  event last_answer_;
-  event answer_before_;         ///< Latest response of a different upstream.
+  event last_response_;
+  event other_response_;        ///< Latest response of a different upstream.
   std::deque<event> failures_;  ///< Failures within the window.
-  std::set<std::string> failed_unanswered_;
+  std::set<std::string> failed_since_response_;
   milliseconds healthy_since_ = 0;
 };
 
--- a/birchlever/upstream/prompt_cache.cpp
+++ b/birchlever/upstream/prompt_cache.cpp
@@ -3,32 +3,32 @@
 namespace birchlever {
 namespace {
 
-constexpr auto most_parts = std::size_t{4096};  // Limits the memory used per engine.
+constexpr auto max_parts = std::size_t{4096};  // Limits the memory used per engine.
 
 }  // namespace
 
 auto prompt_cache::record_use(const std::vector<prompt_part>& parts) -> void {
   for (const auto& part : parts) {
-    auto found = known_.find(part.id_);
-    if (found != known_.end()) {
+    auto found = index_.find(part.id_);
+    if (found != index_.end()) {
       tokens_ -= found->second->tokens_;
-      by_age_.erase(found->second);
+      lru_.erase(found->second);
     }
-    by_age_.push_front(part);
-    known_[part.id_] = by_age_.begin();
+    lru_.push_front(part);
+    index_[part.id_] = lru_.begin();
     tokens_ += part.tokens_;
   }
-  while (!by_age_.empty() && (tokens_ > capacity_ || by_age_.size() > most_parts)) {
-    tokens_ -= by_age_.back().tokens_;
-    known_.erase(by_age_.back().id_);
-    by_age_.pop_back();
+  while (!lru_.empty() && (tokens_ > capacity_ || lru_.size() > max_parts)) {
+    tokens_ -= lru_.back().tokens_;
+    index_.erase(lru_.back().id_);
+    lru_.pop_back();
   }
 }
 
 auto prompt_cache::cached_prefix_tokens(const std::vector<prompt_part>& parts) const -> std::int64_t {
   auto total = std::int64_t{0};
   for (const auto& part : parts) {
-    if (known_.count(part.id_) == 0) {
+    if (index_.count(part.id_) == 0) {
       break;
     }
     total += part.tokens_;
@@ -37,8 +37,8 @@
 }
 
 auto prompt_cache::clear() -> void {
-  by_age_.clear();
-  known_.clear();
+  lru_.clear();
+  index_.clear();
   tokens_ = 0;
 }
 
--- a/birchlever/upstream/prompt_cache.h
+++ b/birchlever/upstream/prompt_cache.h
@@ -33,8 +33,8 @@
   auto clear() -> void;
 
  private:
-  std::list<prompt_part> by_age_;  ///< Most recently used first.
-  std::unordered_map<std::uint64_t, std::list<prompt_part>::iterator> known_;
+  std::list<prompt_part> lru_;  ///< Most recently used first.
+  std::unordered_map<std::uint64_t, std::list<prompt_part>::iterator> index_;
   std::int64_t tokens_ = 0;
   std::int64_t capacity_ = 0;
 };
--- a/birchlever/upstream/shared_prefixes.h
+++ b/birchlever/upstream/shared_prefixes.h
@@ -19,34 +19,36 @@
 /// Shared prefixes of one service. Not thread-safe.
 class shared_prefixes {
  public:
-  /// Records a request of a program. `read_tokens` is the number of prompt tokens not cached by the engine.
-  auto record(const std::string& program, const std::vector<prompt_part>& parts, std::int64_t read_tokens,
+  /// Records a request of a program. `uncached_tokens` is the number of prompt tokens not cached by the
+  /// engine.
+  auto record(const std::string& program, const std::vector<prompt_part>& parts, std::int64_t uncached_tokens,
               milliseconds now) -> void;
 
   /// Returns the expected number of leading prompt tokens cached by an arbitrary engine with the given cache
   /// capacity in tokens.
-  [[nodiscard]] auto expected_cached_tokens(const std::vector<prompt_part>& parts, std::int64_t room,
-                                            milliseconds now) const -> std::int64_t;
+  [[nodiscard]] auto expected_cached_tokens(const std::vector<prompt_part>& parts,
+                                            std::int64_t cache_capacity, milliseconds now) const
+      -> std::int64_t;
 
  private:
   /// Exponentially decaying rate.
-  struct fading_rate {
+  struct decaying_rate {
     double per_s_ = 0;
     milliseconds at_ = 0;
 
-    [[nodiscard]] auto now(milliseconds moment) const -> double;
-    auto add(double amount, milliseconds moment) -> void;
+    [[nodiscard]] auto value_at(milliseconds time) const -> double;
+    auto add(double amount, milliseconds time) -> void;
   };
 
   struct part_use {
-    fading_rate programs_;  ///< Rate of programs using the part; consecutive uses by one program count once.
+    decaying_rate programs_;  ///< Consecutive uses by one program count once.
     std::string last_program_;
   };
 
-  auto forget_rare(milliseconds now) -> void;
+  auto remove_rare(milliseconds now) -> void;
 
   std::unordered_map<std::uint64_t, part_use> uses_;
-  fading_rate read_;
+  decaying_rate processed_;
 };
 
 }  // namespace birchlever
--- a/birchlever/upstream/upstream.h
+++ b/birchlever/upstream/upstream.h
@@ -36,18 +36,18 @@
     if (!cold(limit, now)) {
       return true;
     }
-    auto turn = cold_start_window_at(limit, phase_, now);
-    return turn.open_ && turn.number_ != used_turn_;
+    auto window = cold_start_window_at(limit, phase_, now);
+    return window.open_ && window.number_ != last_window_;
   }
 
   /// Registers a callback invoked once when a new incarnation replaces this one, after which no response can
   /// arrive. Returns a handle for removing the callback.
   auto on_replaced(std::function<void()> callback) -> int {
-    replaced_[++watches_] = std::move(callback);
-    return watches_;
+    replacement_callbacks_[++last_callback_] = std::move(callback);
+    return last_callback_;
   }
 
-  auto remove_callback(int number) -> void { replaced_.erase(number); }
+  auto remove_callback(int number) -> void { replacement_callbacks_.erase(number); }
 
  private:
   friend class upstream_directory;
@@ -62,15 +62,15 @@
   int running_ = 0;               ///< Requests of this daemon in flight.
   double running_elsewhere_ = 0;  ///< Requests of other daemons, from their last reports.
   upstream_health health_;
-  double phase_;                 ///< Phase of the cold start periods, 0 to 1.
-  std::int64_t used_turn_ = -1;  ///< Last cold start period in which a request was sent.
+  double phase_;                   ///< Phase of the cold start periods, 0 to 1.
+  std::int64_t last_window_ = -1;  ///< Last cold start period in which a request was sent.
   milliseconds full_until_ = 0;
   prompt_cache cache_;
-  std::size_t place_ = 0;          ///< Index in its pool.
-  std::size_t place_in_hall_ = 0;  ///< Index among the upstreams of its data hall.
-  std::uint64_t sampled_ = 0;      ///< Number of the last sample that contains it.
-  std::map<int, std::function<void()>> replaced_;
-  int watches_ = 0;
+  std::size_t pool_index_ = 0;       ///< Index in its pool.
+  std::size_t hall_index_ = 0;       ///< Index among the upstreams of its data hall.
+  std::uint64_t sample_number_ = 0;  ///< Number of the last sample that contains it.
+  std::map<int, std::function<void()>> replacement_callbacks_;
+  int last_callback_ = 0;
 };
 
 using upstream_pointer = std::shared_ptr<upstream>;
--- a/birchlever/upstream/upstream_directory.h
+++ b/birchlever/upstream/upstream_directory.h
@@ -32,13 +32,11 @@
   std::string last_upstream_;  ///< Incarnation that ran the previous turn; empty if there is none.
   std::string affinity_key_;   ///< Requests with equal keys prefer the same upstream on all daemons; empty if
                                ///< the upstream of the previous turn is known.
-  int max_local_in_flight_ =
-      0;  ///< Requests of this daemon at which an upstream counts as full; 0 for no limit.
-  std::int64_t cache_capacity_ =
-      0;  ///< Cache capacity of the service's engines in tokens; 0 if they have none.
-  std::set<std::string> excluded_;  ///< Ids of upstreams that refused or failed this request.
-  region_constraint regions_;       ///< Regions that may serve the request.
-  cold_start_limit cold_start_;     ///< Limit for recently started upstreams.
+  int max_local_in_flight_ = 0;      ///< In-flight requests at which an upstream is full; 0 for no limit.
+  std::int64_t cache_capacity_ = 0;  ///< Engine cache capacity in tokens; 0 without a cache.
+  std::set<std::string> excluded_;   ///< Ids of upstreams that refused or failed this request.
+  region_constraint regions_;        ///< Regions that may serve the request.
+  cold_start_limit cold_start_;      ///< Limit for recently started upstreams.
   std::uint64_t seed_ = 0;
 };
 
@@ -58,8 +56,7 @@
   upstream_pool_settings pools_;
   double min_healthy_share_ = 0.25;  ///< If fewer than this fraction of the candidates are healthy, avoided
                                      ///< ones are used too, to prevent overload of the remaining ones.
-  milliseconds full_duration_ =
-      60;  ///< Time in ms for which an upstream counts as full after it refused a request.
+  milliseconds full_duration_ = 60;  ///< Time for which an upstream counts as full after a refusal, in ms.
   std::shared_ptr<const clock_interface> clock_ = std::make_shared<steady_clock>();
 };
 
@@ -94,30 +91,34 @@
   [[nodiscard]] auto find(const std::string& id) const -> upstream_pointer;
 
   /// Selects an upstream with the policy. Failures: no_upstream.
-  auto choose(const policy_interface& policy, const upstream_criteria& wish) -> result<upstream_choice>;
+  auto choose(const policy_interface& policy, const upstream_criteria& criteria) -> result<upstream_choice>;
 
-  /// Sets the callback for health changes that peers should be notified of.
   using health_report_function = std::function<void(const upstream_health_report&)>;
+
+  /// Sets the callback for health changes that peers should be notified of.
   auto on_health_report(health_report_function callback) -> void { on_health_report_ = std::move(callback); }
 
-  /// Sets the function that checks whether an idle pooled connection to an address is available.
   using connection_check_function = std::function<bool(const boost::asio::ip::tcp::endpoint&)>;
-  auto set_connection_check(connection_check_function callback) -> void { connected_ = std::move(callback); }
+
+  /// Sets the function that checks whether an idle pooled connection to an address is available.
+  auto set_connection_check(connection_check_function callback) -> void {
+    connection_check_ = std::move(callback);
+  }
 
   /// Applies a health report of a peer.
-  auto apply_peer_report(const std::string& peer, const upstream_health_report& news) -> void;
+  auto apply_peer_report(const std::string& peer, const upstream_health_report& report) -> void;
 
   /// Detects upstreams that have stopped responding. Call several times per second.
   auto detect_stalled() -> void;
 
   /// Records that a request is sent. Returns the send time, which identifies the request in later calls.
-  auto record_sent(upstream& one, const upstream_criteria& wish) -> milliseconds;
+  auto record_sent(upstream& target, const upstream_criteria& criteria) -> milliseconds;
 
-  /// Records that the response to the request sent at `began` has started.
-  auto record_response_started(upstream& one, milliseconds began) -> void;
+  /// Records that the response to the request sent at `sent_at` has started.
+  auto record_response_started(upstream& target, milliseconds sent_at) -> void;
 
-  /// Records the outcome of the request sent at `began`.
-  auto record_finished(upstream& one, milliseconds began, upstream_outcome evidence) -> void;
+  /// Records the outcome of the request sent at `sent_at`.
+  auto record_finished(upstream& target, milliseconds sent_at, upstream_outcome outcome) -> void;
 
   /// Sets the number of requests that other daemons report in flight at an upstream.
   auto set_running_elsewhere(const std::string& id, double running) -> void;
@@ -132,45 +133,47 @@
   auto each_busy(const std::function<void(const upstream&)>& visit) const -> void;
 
  private:
-  /// Candidates for a request. The first `sound_` of them are not avoided.
+  /// Candidates for a request. The first `healthy_count_` of them are not avoided.
   struct candidate_list {
     std::vector<upstream_pointer> usable_;
-    std::size_t sound_ = 0;
+    std::size_t healthy_count_ = 0;
   };
 
   auto insert(upstream_entry entry, bool announced) -> void;
-  auto change(const upstream_pointer& known, upstream_entry entry) -> void;
-  auto drop(const upstream_pointer& one) -> void;
-  auto note_cold(upstream& one) const -> void;
-  auto candidates(const upstream_criteria& wish) -> candidate_list;
-  auto usable(const upstream& one, const upstream_criteria& wish, milliseconds now) const -> bool;
-  auto held_tokens(const upstream_pointer& one, const upstream_criteria& wish, std::int64_t common,
-                   const upstream_pointer& home, const upstream_pointer& last) const -> std::int64_t;
+  auto change(const upstream_pointer& existing, upstream_entry entry) -> void;
+  auto drop(const upstream_pointer& target) -> void;
+  auto update_cold_until(upstream& target) const -> void;
+  auto candidates(const upstream_criteria& criteria) -> candidate_list;
+  auto usable(const upstream& target, const upstream_criteria& criteria, milliseconds now) const -> bool;
+  auto estimate_cached_tokens(const upstream_pointer& target, const upstream_criteria& criteria,
+                              std::int64_t shared, const upstream_pointer& affinity,
+                              const upstream_pointer& previous) const -> std::int64_t;
   /// Returns the expected number of prompt tokens cached by every engine of the service.
-  [[nodiscard]] auto common_tokens(const upstream_criteria& wish) const -> std::int64_t;
+  [[nodiscard]] auto shared_prefix_tokens(const upstream_criteria& criteria) const -> std::int64_t;
   /// Returns the usable upstream with the highest rendezvous weight for the affinity key, or null.
-  auto home_of(const upstream_criteria& wish, const upstream_pool& pool) const -> upstream_pointer;
+  auto affinity_upstream(const upstream_criteria& criteria, const upstream_pool& pool) const
+      -> upstream_pointer;
   /// Returns the upstream that ran the previous turn if the same incarnation is still listed; else null.
-  auto last_of(const upstream_criteria& wish) const -> upstream_pointer;
-  auto view_of(const upstream& one, const upstream_criteria& wish) const -> engine_view;
-  auto tell(const upstream& one, bool failed) -> void;
-  auto note_idle(const upstream& one) -> void;
-  auto take_success(upstream& one, milliseconds now) -> void;
-  auto take_failure(upstream& one, milliseconds began, milliseconds now) -> void;
-  auto forgive_unanswered() -> void;
-  static auto log_avoided(const upstream& one, const char* cause, milliseconds now) -> void;
+  auto previous_upstream(const upstream_criteria& criteria) const -> upstream_pointer;
+  auto view_of(const upstream& target, const upstream_criteria& criteria) const -> engine_view;
+  auto report_health(const upstream& target, bool failed) -> void;
+  auto remove_busy(const upstream& target) -> void;
+  auto handle_success(upstream& target, milliseconds now) -> void;
+  auto handle_failure(upstream& target, milliseconds sent_at, milliseconds now) -> void;
+  auto clear_unanswered_failures() -> void;
+  static auto log_avoided(const upstream& target, const char* cause, milliseconds now) -> void;
 
   upstream_directory_settings settings_;
   local_link link_;
-  bool link_blamed_ = false;  ///< The link is considered faulty until an upstream responds.
-  std::map<std::string, shared_prefixes> common_;                ///< By service.
+  bool link_faulty_ = false;  ///< The link is considered faulty until an upstream responds.
+  std::map<std::string, shared_prefixes> shared_prefixes_;       ///< By service.
   std::unordered_map<std::string, upstream_pointer> upstreams_;  ///< By id.
   std::map<std::string, upstream_pool> pools_;                   ///< By service.
   std::vector<upstream_pointer> busy_;                           ///< With requests of this daemon in flight.
   std::vector<upstream_pointer> busy_elsewhere_;  ///< With requests of other daemons in flight.
   std::set<std::string> closed_halls_;
   health_report_function on_health_report_;
-  connection_check_function connected_;
+  connection_check_function connection_check_;
 };
 
 }  // namespace birchlever
--- a/birchlever/upstream/upstream_entry.cpp
+++ b/birchlever/upstream/upstream_entry.cpp
@@ -5,7 +5,7 @@
 namespace birchlever {
 namespace {
 
-constexpr auto start_mark = '@';  // Separates the id from the start time.
+constexpr auto incarnation_separator = '@';  // Separates the id from the start time.
 
 }  // namespace
 
@@ -20,11 +20,11 @@
 }
 
 auto incarnation_of(const upstream_entry& entry) -> std::string {
-  return entry.born_ == 0 ? entry.id_ : entry.id_ + start_mark + std::to_string(entry.born_);
+  return entry.born_ == 0 ? entry.id_ : entry.id_ + incarnation_separator + std::to_string(entry.born_);
 }
 
 auto id_of_incarnation(std::string_view incarnation) -> std::string {
-  return std::string{incarnation.substr(0, incarnation.rfind(start_mark))};
+  return std::string{incarnation.substr(0, incarnation.rfind(incarnation_separator))};
 }
 
 }  // namespace birchlever
--- a/birchlever/upstream/upstream_exchange.cpp
+++ b/birchlever/upstream/upstream_exchange.cpp
@@ -7,7 +7,7 @@
 namespace birchlever {
 namespace {
 
-constexpr auto most_pieces = std::size_t{256};
+constexpr auto max_chunks = std::size_t{256};
 
 }  // namespace
 
@@ -59,14 +59,14 @@
     finish(nullptr);
     return;
   }
-  auto not_sent = !lost && (outcome.error() == httplib::Error::Connection ||
-                            outcome.error() == httplib::Error::ConnectionTimeout);
+  auto unsent = !lost && (outcome.error() == httplib::Error::Connection ||
+                          outcome.error() == httplib::Error::ConnectionTimeout);
   auto name = request.target_.text();
-  finish(not_sent ? std::make_unique<error>(
-                        error{error_code::upstream_refused, "no connection to " + name, ran_state::not_run})
-                  : std::make_unique<error>(error{error_code::upstream_failed,
-                                                  "response of " + name + " was interrupted",
-                                                  ran_state::outcome_unknown}));
+  finish(unsent ? std::make_unique<error>(
+                      error{error_code::upstream_refused, "no connection to " + name, ran_state::not_run})
+                : std::make_unique<error>(error{error_code::upstream_failed,
+                                                "response of " + name + " was interrupted",
+                                                ran_state::outcome_unknown}));
 }
 
 auto upstream_exchange::on_status(int status, std::string content_type) -> void {
@@ -78,67 +78,67 @@
 
 auto upstream_exchange::on_bytes(const char* bytes, std::size_t length) -> bool {
   auto lock = std::unique_lock{mutex_};
-  changed_.wait(lock, [this] { return pieces_.size() < most_pieces || cancelled_; });
+  changed_.wait(lock, [this] { return chunks_.size() < max_chunks || cancelled_; });
   if (cancelled_) {
     return false;
   }
-  pieces_.emplace_back(bytes, length);
+  chunks_.emplace_back(bytes, length);
   changed_.notify_all();
   return true;
 }
 
-auto upstream_exchange::finish(std::unique_ptr<error> fault) -> void {
+auto upstream_exchange::finish(std::unique_ptr<error> cause) -> void {
   auto lock = std::lock_guard{mutex_};
-  fault_ = std::move(fault);
+  error_ = std::move(cause);
   finished_ = true;
   changed_.notify_all();
 }
 
-auto upstream_exchange::wait_status(milliseconds patience) -> result<int> {
+auto upstream_exchange::wait_status(milliseconds timeout) -> result<int> {
   auto lock = std::unique_lock{mutex_};
-  auto known = changed_.wait_for(lock, std::chrono::milliseconds{patience},
+  auto ready = changed_.wait_for(lock, std::chrono::milliseconds{timeout},
                                  [this] { return status_ != 0 || finished_; });
-  if (!known) {
+  if (!ready) {
     return error{error_code::upstream_timeout, "upstream response timed out", ran_state::outcome_unknown};
   }
   if (status_ == 0) {
-    return fault_
-               ? *fault_
+    return error_
+               ? *error_
                : error{error_code::upstream_failed, "upstream sent no response", ran_state::outcome_unknown};
   }
   return status_;
 }
 
-auto upstream_exchange::next(milliseconds patience) -> result<response_chunk> {
+auto upstream_exchange::next(milliseconds timeout) -> result<response_chunk> {
   auto lock = std::unique_lock{mutex_};
-  auto ready = changed_.wait_for(lock, std::chrono::milliseconds{patience},
-                                 [this] { return !pieces_.empty() || finished_; });
+  auto ready = changed_.wait_for(lock, std::chrono::milliseconds{timeout},
+                                 [this] { return !chunks_.empty() || finished_; });
   if (!ready) {
     return error{error_code::upstream_timeout, "upstream response stalled", ran_state::outcome_unknown};
   }
-  if (!pieces_.empty()) {
-    auto piece = response_chunk{std::move(pieces_.front()), false};
-    pieces_.pop_front();
+  if (!chunks_.empty()) {
+    auto chunk = response_chunk{std::move(chunks_.front()), false};
+    chunks_.pop_front();
     changed_.notify_all();
-    return piece;
+    return chunk;
   }
-  if (fault_) {
-    return *fault_;
+  if (error_) {
+    return *error_;
   }
   return response_chunk{{}, true};
 }
 
-auto upstream_exchange::read_all(milliseconds patience) -> result<std::string> {
+auto upstream_exchange::read_all(milliseconds timeout) -> result<std::string> {
   auto text = std::string{};
   while (true) {
-    auto piece = next(patience);
-    if (!ok(piece)) {
-      return failure(piece);
+    auto chunk = next(timeout);
+    if (!ok(chunk)) {
+      return failure(chunk);
     }
-    if (value(piece).end_) {
+    if (value(chunk).end_) {
       return text;
     }
-    text += value(piece).bytes_;
+    text += value(chunk).bytes_;
   }
 }
 
--- a/birchlever/upstream/upstream_exchange.h
+++ b/birchlever/upstream/upstream_exchange.h
@@ -47,13 +47,13 @@
 
   /// Waits for the HTTP status. Failures: upstream_refused (request not sent), upstream_timeout and
   /// upstream_failed (both outcome_unknown).
-  auto wait_status(milliseconds patience) -> result<int>;
+  auto wait_status(milliseconds timeout) -> result<int>;
 
   /// Waits for the next chunk. Failures: upstream_timeout, upstream_failed (response interrupted).
-  auto next(milliseconds patience) -> result<response_chunk>;
+  auto next(milliseconds timeout) -> result<response_chunk>;
 
   /// Returns the remaining response body. Failures: as next().
-  auto read_all(milliseconds patience) -> result<std::string>;
+  auto read_all(milliseconds timeout) -> result<std::string>;
 
   /// Content type of the response; valid after wait_status().
   [[nodiscard]] auto content_type() const -> std::string;
@@ -66,16 +66,16 @@
   auto run(const std::shared_ptr<http_connection_pool>& pool, const upstream_request& request) -> void;
   auto on_status(int status, std::string content_type) -> void;
   auto on_bytes(const char* bytes, std::size_t length) -> bool;
-  auto finish(std::unique_ptr<error> fault) -> void;
+  auto finish(std::unique_ptr<error> cause) -> void;
 
   mutable std::mutex mutex_;
   std::condition_variable changed_;
-  std::deque<std::string> pieces_;
+  std::deque<std::string> chunks_;
   int status_ = 0;
   std::string content_type_;
   bool finished_ = false;
   bool cancelled_ = false;
-  std::unique_ptr<error> fault_;
+  std::unique_ptr<error> error_;
   std::thread thread_;
 };
 
--- a/birchlever/upstream/upstream_health.cpp
+++ b/birchlever/upstream/upstream_health.cpp
@@ -5,22 +5,22 @@
 namespace birchlever {
 namespace {
 
-constexpr auto least_jitter = 0.75;  // Avoidance times are scaled by a factor from 0.75 to 1.25.
+constexpr auto min_jitter = 0.75;  // Avoidance times are scaled by a factor from 0.75 to 1.25.
 constexpr auto jitter_width = 0.5;
-constexpr auto most_doublings = 6;
+constexpr auto max_doublings = 6;
 
 }  // namespace
 
 auto upstream_health::avoid(milliseconds now) -> void {
-  auto doublings = std::min(avoidances_++, most_doublings);
+  auto doublings = std::min(avoidances_++, max_doublings);
   avoidance_ = std::min(settings_.initial_avoidance_ << doublings, settings_.max_avoidance_);
-  auto factor = least_jitter + jitter_width * jitter_;
+  auto factor = min_jitter + jitter_width * jitter_;
   avoid_until_ = now + static_cast<milliseconds>(static_cast<double>(avoidance_) * factor);
 }
 
-auto upstream_health::begin_anew_when_quiet(milliseconds now) -> void {
-  auto quiet = std::max(settings_.reset_after_, 2 * avoidance_);
-  if (now - failed_at_ > quiet) {
+auto upstream_health::reset_if_expired(milliseconds now) -> void {
+  auto expiry = std::max(settings_.reset_after_, 2 * avoidance_);
+  if (now - last_failure_at_ > expiry) {
     weight_ = 0;
     avoidances_ = 0;
     avoidance_ = 0;
@@ -30,7 +30,7 @@
 
 auto upstream_health::add(int weight, milliseconds now) -> bool {
   weight_ += weight;
-  failed_at_ = now;
+  last_failure_at_ = now;
   if (weight_ < settings_.avoidance_weight_) {
     return false;
   }
@@ -42,7 +42,7 @@
   if (avoided(now) || link == link_status::faulty) {
     return false;  // The request was sent before the avoidance, or the local link failed.
   }
-  begin_anew_when_quiet(now);
+  reset_if_expired(now);
   return add(settings_.local_weight_, now);
 }
 
@@ -50,12 +50,12 @@
   if (avoided(now)) {
     // Late in an avoidance, a peer has probed the upstream and failed: extend the avoidance without a probe.
     if (avoid_until_ - now <= avoidance_ / 2) {
-      failed_at_ = now;
+      last_failure_at_ = now;
       avoid(now);
     }
     return false;
   }
-  begin_anew_when_quiet(now);
+  reset_if_expired(now);
   auto counted = std::find(peers_.begin(), peers_.end(), peer) != peers_.end();
   if (counted && avoidances_ == 0) {
     return false;
@@ -65,7 +65,7 @@
 }
 
 auto upstream_health::suspected(milliseconds now) const -> bool {
-  auto recent = now - failed_at_ <= settings_.reset_after_;
+  auto recent = now - last_failure_at_ <= settings_.reset_after_;
   return recent && weight_ + settings_.local_weight_ >= settings_.avoidance_weight_;
 }
 
@@ -84,24 +84,24 @@
 }
 
 auto upstream_health::remove_pending(milliseconds sent_at) -> void {
-  auto place = waiting_.find(sent_at);
-  if (place != waiting_.end()) {
-    waiting_.erase(place);
+  auto entry = pending_.find(sent_at);
+  if (entry != pending_.end()) {
+    pending_.erase(entry);
   }
 }
 
 auto upstream_health::record_response(milliseconds sent_at, milliseconds now) -> void {
-  answered_at_ = now;
+  last_response_at_ = now;
   remove_pending(sent_at);
 }
 
-auto upstream_health::detect_stall(milliseconds now, milliseconds link_sound_since) -> bool {
-  auto oldest = waiting_.lower_bound(link_sound_since);
-  auto stalled = oldest != waiting_.end() && now - *oldest >= settings_.stall_timeout_ &&
-                 now - answered_at_ >= settings_.stall_timeout_ && !avoided(now);
+auto upstream_health::detect_stall(milliseconds now, milliseconds link_healthy_since) -> bool {
+  auto oldest = pending_.lower_bound(link_healthy_since);
+  auto stalled = oldest != pending_.end() && now - *oldest >= settings_.stall_timeout_ &&
+                 now - last_response_at_ >= settings_.stall_timeout_ && !avoided(now);
   if (stalled) {
     weight_ = std::max(weight_, settings_.avoidance_weight_);
-    failed_at_ = now;
+    last_failure_at_ = now;
     avoid(now);
   }
   return stalled;
--- a/birchlever/upstream/upstream_health.h
+++ b/birchlever/upstream/upstream_health.h
@@ -52,7 +52,7 @@
   [[nodiscard]] auto suspected(milliseconds now) const -> bool;
 
   /// Records a request whose response is pending.
-  auto record_sent(milliseconds now) -> void { waiting_.insert(now); }
+  auto record_sent(milliseconds now) -> void { pending_.insert(now); }
 
   /// Records the start of the response to the request sent at `sent_at`.
   auto record_response(milliseconds sent_at, milliseconds now) -> void;
@@ -60,9 +60,9 @@
   /// Removes the pending request sent at `sent_at`, if any.
   auto remove_pending(milliseconds sent_at) -> void;
 
-  /// Returns true, and avoids the upstream, if a request sent at or after `link_sound_since` is pending and
+  /// Returns true, and avoids the upstream, if a request sent at or after `link_healthy_since` is pending and
   /// no response arrived within the stall timeout. Returns false while the upstream is avoided.
-  auto detect_stall(milliseconds now, milliseconds link_sound_since = 0) -> bool;
+  auto detect_stall(milliseconds now, milliseconds link_healthy_since = 0) -> bool;
 
   [[nodiscard]] auto avoided(milliseconds now) const -> bool { return avoid_until_ > now; }
   [[nodiscard]] auto avoid_until() const -> milliseconds { return avoid_until_; }
@@ -72,7 +72,7 @@
 
  private:
   auto add(int weight, milliseconds now) -> bool;
-  auto begin_anew_when_quiet(milliseconds now) -> void;
+  auto reset_if_expired(milliseconds now) -> void;
   auto avoid(milliseconds now) -> void;
 
   upstream_health_settings settings_;
@@ -80,11 +80,11 @@
   int weight_ = 0;
   int avoidances_ = 0;              ///< Number of consecutive avoidances.
   std::vector<std::string> peers_;  ///< Peers that reported one of the consecutive failures.
-  milliseconds failed_at_ = 0;
+  milliseconds last_failure_at_ = 0;
   milliseconds avoidance_ = 0;  ///< Nominal length of the latest avoidance.
   milliseconds avoid_until_ = 0;
-  milliseconds answered_at_ = 0;
-  std::multiset<milliseconds> waiting_;
+  milliseconds last_response_at_ = 0;
+  std::multiset<milliseconds> pending_;
 };
 
 }  // namespace birchlever
--- a/birchlever/upstream/upstream_pool.h
+++ b/birchlever/upstream/upstream_pool.h
@@ -28,11 +28,11 @@
  public:
   explicit upstream_pool(const upstream_pool_settings& settings = {}) : settings_{settings} {}
 
-  auto add(const upstream_pointer& one) -> void;
-  auto remove(const upstream_pointer& one) -> void;
+  auto add(const upstream_pointer& target) -> void;
+  auto remove(const upstream_pointer& target) -> void;
 
   /// Marks an upstream as most recently used.
-  auto note_used(const upstream_pointer& one) -> void;
+  auto mark_used(const upstream_pointer& target) -> void;
 
   [[nodiscard]] auto all() const -> const std::vector<upstream_pointer>& { return all_; }
 
@@ -44,19 +44,19 @@
   [[nodiscard]] auto sampled() const -> bool { return all_.size() > settings_.max_unsampled_; }
 
   /// Returns the upstreams following the key on a hash ring, which are the same on all daemons.
-  [[nodiscard]] auto neighbours_of(const std::string& subject) const -> std::vector<upstream_pointer>;
+  [[nodiscard]] auto ring_candidates(const std::string& key) const -> std::vector<upstream_pointer>;
 
  private:
-  auto draw(const std::vector<upstream_pointer>& from, std::size_t count, std::uint64_t seed,
-            std::vector<upstream_pointer>& into) const -> void;
-  auto take(const upstream_pointer& one, std::vector<upstream_pointer>& into) const -> void;
+  auto append_random(const std::vector<upstream_pointer>& from, std::size_t count, std::uint64_t seed,
+                     std::vector<upstream_pointer>& into) const -> void;
+  auto append_once(const upstream_pointer& target, std::vector<upstream_pointer>& into) const -> void;
 
   upstream_pool_settings settings_;
   std::vector<upstream_pointer> all_;
   std::unordered_map<std::string, std::vector<upstream_pointer>> by_hall_;
   std::map<std::uint64_t, upstream_pointer> ring_;  ///< Hash ring of upstream ids.
-  std::deque<upstream_pointer> used_;               ///< Most recently used first.
-  std::uint64_t samples_ = 0;
+  std::deque<upstream_pointer> recent_;             ///< Most recently used first.
+  std::uint64_t sample_count_ = 0;
 };
 
 }  // namespace birchlever
--- a/birchlever/upstream/upstream_table.h
+++ b/birchlever/upstream/upstream_table.h
@@ -44,7 +44,7 @@
   candidate cost_terms_;
 };
 
-/// Result of a placement_request.
+/// Result of a placement.
 struct placement_result {
   vm_entry upstream_;
   int priority_ = 0;
@@ -63,13 +63,13 @@
                      const std::set<std::string>& drained_halls) -> void;
 
   /// Applies a load report received at `now`. Reports of unknown engines are ignored.
-  auto update_load(const load_report& fresh, milliseconds now) -> void;
+  auto update_load(const load_report& report, milliseconds now) -> void;
 
   /// Removes the cached prefixes of an engine, as after a restart or cache flush.
   auto clear_prefixes(const std::string& engine) -> void;
 
   /// Selects an upstream. Failures: no_upstream, unknown_service.
-  auto choose(const policy_interface& policy, placement_request wish, milliseconds now)
+  auto choose(const policy_interface& policy, placement_request request, milliseconds now)
       -> result<placement_result>;
 
   /// Records a call sent to an upstream.
@@ -86,7 +86,7 @@
   [[nodiscard]] auto reports_of(const std::vector<std::string>& engines) const -> std::vector<load_report>;
 
  private:
-  struct known_upstream {
+  struct engine_state {
     vm_entry entry_;
     milliseconds reported_at_ = -1;
     double reported_lag_ = 0;
@@ -97,20 +97,20 @@
   };
 
   auto refresh(milliseconds now) -> void;
-  auto fill_cached(const placement_request& wish, std::vector<double>& cached) const -> void;
-  auto choose_service(const placement_request& wish) -> result<placement_result>;
-  auto choose_engine(const policy_interface& policy, placement_request& wish, milliseconds now)
+  auto fill_cached(const placement_request& request, std::vector<double>& cached) const -> void;
+  auto choose_service(const placement_request& request) -> result<placement_result>;
+  auto choose_engine(const policy_interface& policy, placement_request& request, milliseconds now)
       -> result<placement_result>;
-  [[nodiscard]] auto describe(decision made) const -> placement_result;
+  [[nodiscard]] auto describe(decision decided) const -> placement_result;
   [[nodiscard]] auto index_of(const std::string& id) const -> std::size_t;
 
   mutable std::mutex mutex_;
-  std::vector<known_upstream> known_;  ///< Same indices as views_.
+  std::vector<engine_state> states_;  ///< Same indices as views_.
   std::vector<engine_view> views_;
   std::vector<vm_entry> services_;
   std::map<std::string, std::size_t> index_;
   std::unordered_map<std::uint64_t, std::vector<std::uint32_t>> prefix_holders_;
-  std::uint64_t turn_ = 0;
+  std::uint64_t next_seed_ = 0;
 };
 
 }  // namespace birchlever
--- a/unit_tests/accounts/account_registry_test.cpp
+++ b/unit_tests/accounts/account_registry_test.cpp
@@ -1,4 +1,4 @@
-/// Accounts of a configuration: what is found, what is refused, and that no key shows.
+/// Tests of account lookup and validation, and that keys do not appear in messages.
 #include "birchlever/accounts/account_registry.h"
 
 #include <catch2/catch.hpp>
@@ -25,20 +25,20 @@
 
 }  // namespace
 
-TEST_CASE("an account is found by each of its keys, and by nothing else") {
+TEST_CASE("An account is found by each of its key digests and by its name only") {
   auto made = account_registry::create({account("notary", {"key-1", "key-2"}), account("survey", {"key-3"})});
   REQUIRE(ok(made));
-  const auto& book = *value(made);
-  CHECK(book.find_by_key_digest(sha256_hex("key-2"))->name_ == "notary");
-  CHECK(book.find_by_key_digest(sha256_hex("key-3"))->name_ == "survey");
-  CHECK(book.find_by_key_digest(sha256_hex("key-4")) == nullptr);
-  CHECK(book.find_by_key_digest("key-1") == nullptr);
-  CHECK(book.find_by_key_digest("") == nullptr);
-  CHECK(book.find("survey") != nullptr);
-  CHECK(book.find("nobody") == nullptr);
+  const auto& registry = *value(made);
+  CHECK(registry.find_by_key_digest(sha256_hex("key-2"))->name_ == "notary");
+  CHECK(registry.find_by_key_digest(sha256_hex("key-3"))->name_ == "survey");
+  CHECK(registry.find_by_key_digest(sha256_hex("key-4")) == nullptr);
+  CHECK(registry.find_by_key_digest("key-1") == nullptr);
+  CHECK(registry.find_by_key_digest("") == nullptr);
+  CHECK(registry.find("survey") != nullptr);
+  CHECK(registry.find("nobody") == nullptr);
 }
 
-TEST_CASE("accounts without a name, twice, with a negative rate or sharing a key are refused by type") {
+TEST_CASE("Unnamed and duplicate accounts, negative limits and shared keys are rejected") {
   CHECK(refusal_of({account("", {"key-1"})}).code_ == error_code::invalid_account);
   CHECK(refusal_of({account("a", {}), account("a", {})}).code_ == error_code::invalid_account);
   auto negative = account("a", {"key-1"});
@@ -53,11 +53,11 @@
   CHECK(shared.detail_.find(abbreviated_digest(sha256_hex("secret-key"))) != std::string::npos);
 }
 
-TEST_CASE("one account may list a key twice") {
+TEST_CASE("An account may list the same key twice") {
   CHECK(ok(account_registry::create({account("a", {"key-1", "key-1"})})));
 }
 
-TEST_CASE("an allotment holds its rate over a span and its burst once; no rate means no limit") {
+TEST_CASE("An allotment permits its rate over a period plus one burst, and a zero rate is unlimited") {
   CHECK(account_allotment{10, 5}.max_requests_in(5) == Approx(55));
   CHECK(account_allotment{10, 0}.limited());
   CHECK(!account_allotment{0, 50}.limited());
--- a/unit_tests/accounts/account_usage_test.cpp
+++ b/unit_tests/accounts/account_usage_test.cpp
@@ -1,4 +1,4 @@
-/// Metrics by account: bounded in number, and no key in them.
+/// Tests that account metrics are bounded in number and contain no keys.
 #include "birchlever/accounts/account_usage.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace birchlever {
 
-TEST_CASE("the accounts that ask most are shown by name, all others as one sum") {
+TEST_CASE("Accounts with the most requests are listed by name and all others as a sum") {
   auto usage = account_usage{};
   for (auto number = 0; number < 1200; ++number) {
     for (auto request = 0; request <= number; ++request) {
@@ -18,8 +18,8 @@
   auto account = client_account{};
   account.name_ = "account-1199";
   account.key_digests_ = {sha256_hex("secret-1"), sha256_hex("secret-2")};
-  auto book = value(account_registry::create({account}));
-  auto text = usage.to_prometheus(book.get(), 3);
+  auto registry = value(account_registry::create({account}));
+  auto text = usage.to_prometheus(registry.get(), 3);
   CHECK(std::count(text.begin(), text.end(), '\n') == 2 * 4 + 1);
   CHECK(text.find("account_requests_total{account=\"account-1199\",status=\"200\"} 600\n") !=
         std::string::npos);
@@ -30,7 +30,7 @@
   CHECK(text.find("secret-1") == std::string::npos);
 }
 
-TEST_CASE("without accounts there are no metrics of them") {
+TEST_CASE("No metrics are printed without accounts") {
   CHECK(account_usage{}.to_prometheus(nullptr, 3).empty());
 }
 
--- a/unit_tests/policy/policy_test.cpp
+++ b/unit_tests/policy/policy_test.cpp
@@ -35,21 +35,21 @@
 
 }  // namespace
 
-TEST_CASE("every policy decides alike on the same view, and refuses when nothing is usable") {
+TEST_CASE("Every policy is deterministic and refuses calls without a usable engine") {
   for (auto kind : {policy_kind::round_robin, policy_kind::least_loaded, policy_kind::prefix_affinity,
                     policy_kind::least_attained_service, policy_kind::program_aware}) {
     CHECK(chosen(kind, call(), engines()) == chosen(kind, call(), engines()));
-    auto barred = engines();
-    for (auto& engine : barred) {
+    auto unusable = engines();
+    for (auto& engine : unusable) {
       engine.usable_ = false;
     }
-    auto refused = value(make_policy({kind, {}}))->choose(call(), barred);
+    auto refused = value(make_policy({kind, {}}))->choose(call(), unusable);
     REQUIRE(!ok(refused));
     CHECK(failure(refused).code_ == error_code::no_upstream);
   }
 }
 
-TEST_CASE("the own policy follows the prefix unless its engine is far behind") {
+TEST_CASE("The program-aware policy prefers the engine with the cached prefix unless it is overloaded") {
   auto view = call();
   view.cached_tokens_ = {0, 7500, 0};
   auto list = engines();
@@ -58,7 +58,7 @@
   CHECK(chosen(policy_kind::program_aware, view, list) != 1);
 }
 
-TEST_CASE("an old load report loses weight against what the owner sent itself") {
+TEST_CASE("Calls sent since an outdated load report outweigh the report") {
   auto list = engines();
   list[0].running_ = 0;
   list[0].report_age_ms_ = 60000;
@@ -66,13 +66,13 @@
   CHECK(chosen(policy_kind::program_aware, call(), list) != 0);
 }
 
-TEST_CASE("parameters are checked by name and range") {
+TEST_CASE("Parameters are checked by name and range") {
   CHECK(!ok(check_policy({policy_kind::program_aware, {{"cache_weight", 1000}}})));
   CHECK(!ok(check_policy({policy_kind::round_robin, {{"cache_weight", 1}}})));
   CHECK(ok(check_policy({policy_kind::program_aware, {{"cache_weight", 2}}})));
 }
 
-TEST_CASE("a kept connection outweighs a little load, never much of it, and only where that is asked for") {
+TEST_CASE("An idle connection offsets a limited amount of load, and only if configured") {
   auto list = engines();
   list[1].connected_ = true;
   list[1].running_ = 3;
@@ -84,7 +84,7 @@
   CHECK(value(policy->choose(view, list)).engine_ != 1);
 }
 
-TEST_CASE("the upstream table leaves out what leaves, is drained or keeps failing") {
+TEST_CASE("The upstream table excludes leaving, drained and failing upstreams unless none is left") {
   auto table = upstream_table{};
   auto entry = [](const std::string& id) {
     auto made = vm_entry{id, vm_kind::engine, {"127.0.0.1", 1}, "a"};
@@ -93,24 +93,24 @@
   };
   auto list = std::vector{entry("one"), entry("two")};
   auto policy = value(make_policy({policy_kind::least_loaded, {}}));
-  auto wish = placement_request{};
-  wish.call_.model_ = "standard";
+  auto request = placement_request{};
+  request.call_.model_ = "standard";
   table.set_upstreams(list, {"one"}, {});
-  CHECK(value(table.choose(*policy, wish, 0)).upstream_.id_ == "two");
+  CHECK(value(table.choose(*policy, request, 0)).upstream_.id_ == "two");
   list[1].leaving_ = true;
   table.set_upstreams(list, {}, {});
-  CHECK(value(table.choose(*policy, wish, 0)).upstream_.id_ == "one");
+  CHECK(value(table.choose(*policy, request, 0)).upstream_.id_ == "one");
   list[1].leaving_ = false;
   table.set_upstreams(list, {}, {});
   table.record_finished("one", true, 10);
   table.record_finished("one", true, 10);
-  CHECK(value(table.choose(*policy, wish, 20)).upstream_.id_ == "two");
-  wish.call_.avoid_ = {"two"};
-  CHECK(value(table.choose(*policy, wish, 20)).upstream_.id_ == "one");
-  wish.call_.avoid_ = {"one", "two"};
-  CHECK(ok(table.choose(*policy, wish, 20)));
+  CHECK(value(table.choose(*policy, request, 20)).upstream_.id_ == "two");
+  request.call_.avoid_ = {"two"};
+  CHECK(value(table.choose(*policy, request, 20)).upstream_.id_ == "one");
+  request.call_.avoid_ = {"one", "two"};
+  CHECK(ok(table.choose(*policy, request, 20)));
   table.set_upstreams({}, {}, {});
-  CHECK(!ok(table.choose(*policy, wish, 20)));
+  CHECK(!ok(table.choose(*policy, request, 20)));
 }
 
 }  // namespace birchlever
--- a/unit_tests/upstream/local_link_test.cpp
+++ b/unit_tests/upstream/local_link_test.cpp
@@ -1,4 +1,4 @@
-/// What a daemon's own link explains is no news of an upstream.
+/// Tests that failures caused by the local network link are not attributed to upstreams.
 #include "birchlever/upstream/local_link.h"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 namespace birchlever {
 namespace {
 
-/// A directory of eight upstreams on a clock that the test moves, and what it told its peers.
+/// Directory of eight upstreams with a manual clock, recording its health reports.
 struct link_fixture {
   link_fixture() {
     clock_->advance(100000);
@@ -20,43 +20,45 @@
       entry.id_ = "u" + std::to_string(number);
       directory_->put(entry);
     }
-    directory_->on_health_report([this](const upstream_health_report& news) { told_.push_back(news); });
+    directory_->on_health_report(
+        [this](const upstream_health_report& report) { reports_.push_back(report); });
   }
 
-  /// A request that takes 20 ms.
+  /// Runs a request that takes 20 ms.
   auto request(const std::string& id, upstream_outcome evidence) -> void {
     auto target = directory_->find(id);
-    auto began = directory_->record_sent(*target, {});
+    auto sent_at = directory_->record_sent(*target, {});
     clock_->advance(20);
     if (evidence == upstream_outcome::served) {
-      directory_->record_response_started(*target, began);
+      directory_->record_response_started(*target, sent_at);
     }
-    directory_->record_finished(*target, began, evidence);
+    directory_->record_finished(*target, sent_at, evidence);
   }
 
   auto avoided() const -> int {
     auto count = 0;
-    directory_->each([&](const upstream& one) { count += one.health().avoided(clock_->now()) ? 1 : 0; });
+    directory_->each(
+        [&](const upstream& target) { count += target.health().avoided(clock_->now()) ? 1 : 0; });
     return count;
   }
 
   std::shared_ptr<manual_clock> clock_ = std::make_shared<manual_clock>();
   std::unique_ptr<upstream_directory> directory_;
-  std::vector<upstream_health_report> told_;
+  std::vector<upstream_health_report> reports_;
 };
 
 }  // namespace
 
-TEST_CASE("a failure is told while other upstreams answer") {
+TEST_CASE("A failure is reported while other upstreams respond") {
   auto fixture = link_fixture{};
   fixture.request("u0", upstream_outcome::served);
   fixture.request("u1", upstream_outcome::failed);
-  REQUIRE(fixture.told_.size() == 1);
-  CHECK(fixture.told_[0].id_ == "u1");
-  CHECK(fixture.told_[0].failed_);
+  REQUIRE(fixture.reports_.size() == 1);
+  CHECK(fixture.reports_[0].id_ == "u1");
+  CHECK(fixture.reports_[0].failed_);
 }
 
-TEST_CASE("a daemon whose link is cut tells nobody and avoids nothing") {
+TEST_CASE("A daemon with a failed link reports no failures and avoids no upstream") {
   auto fixture = link_fixture{};
   fixture.request("u0", upstream_outcome::served);
   fixture.clock_->advance(700);
@@ -65,11 +67,11 @@
       fixture.request("u" + std::to_string(number), upstream_outcome::failed);
     }
   }
-  CHECK(fixture.told_.empty());
+  CHECK(fixture.reports_.empty());
   CHECK(fixture.avoided() == 0);
 }
 
-TEST_CASE("connections that are reset all at once are no news of their upstreams") {
+TEST_CASE("Simultaneous connection resets are attributed to the link") {
   auto link = local_link{};
   link.record_response("u0", 1000, 1010);
   for (const auto* id : {"u1", "u2", "u3"}) {
@@ -81,29 +83,29 @@
   CHECK(link.status_for("u1", 1205, 1210) == link_status::healthy);
 }
 
-TEST_CASE("the only upstream that is tried is left although nothing proves the link") {
+TEST_CASE("The only upstream in use is avoided after failures even if the link is unproven") {
   auto fixture = link_fixture{};
-  for (auto tries = 0; tries < 2; ++tries) {
+  for (auto attempt = 0; attempt < 2; ++attempt) {
     fixture.request("u0", upstream_outcome::failed);
   }
   CHECK(fixture.avoided() == 1);
-  CHECK(fixture.told_.empty());
+  CHECK(fixture.reports_.empty());
 }
 
-TEST_CASE("requests that waited while the link was silent do not show that their upstream hangs") {
+TEST_CASE("Requests delayed by a link outage do not indicate a stalled upstream") {
   auto fixture = link_fixture{};
   fixture.request("u0", upstream_outcome::served);
-  auto lost = fixture.directory_->find("u1");
-  fixture.directory_->record_sent(*lost, {});
-  auto held_up = fixture.directory_->find("u2");
-  auto began = fixture.directory_->record_sent(*held_up, {});
+  auto unresponsive = fixture.directory_->find("u1");
+  fixture.directory_->record_sent(*unresponsive, {});
+  auto delayed = fixture.directory_->find("u2");
+  auto sent_at = fixture.directory_->record_sent(*delayed, {});
   fixture.clock_->advance(2000);
-  fixture.directory_->record_response_started(*held_up, began);
-  fixture.directory_->record_finished(*held_up, began, upstream_outcome::served);
+  fixture.directory_->record_response_started(*delayed, sent_at);
+  fixture.directory_->record_finished(*delayed, sent_at, upstream_outcome::served);
   fixture.directory_->detect_stalled();
   CHECK(fixture.avoided() == 0);
-  fixture.directory_->record_sent(*lost, {});
-  for (auto answers = 0; answers < 4; ++answers) {
+  fixture.directory_->record_sent(*unresponsive, {});
+  for (auto response = 0; response < 4; ++response) {
     fixture.clock_->advance(480);
     fixture.request("u0", upstream_outcome::served);
   }
@@ -111,7 +113,7 @@
   CHECK(fixture.avoided() == 1);
 }
 
-TEST_CASE("peers count once in a row, and one request that is served ends the row") {
+TEST_CASE("Each peer's failures count once until a success resets them") {
   auto health = upstream_health{};
   CHECK_FALSE(health.record_peer_failure("vm-1", 10000));
   CHECK_FALSE(health.record_peer_failure("vm-1", 10010));
@@ -125,25 +127,25 @@
   CHECK(health.avoided(10070));
 }
 
-TEST_CASE("a peer that tried again and failed keeps the others from trying") {
+TEST_CASE("A failed probe of a peer extends the avoidance") {
   auto health = upstream_health{};
   CHECK_FALSE(health.record_failure(10000));
   CHECK(health.record_failure(10010));
   CHECK(health.avoid_until() == 10510);
-  CHECK_FALSE(health.record_peer_failure("vm-1", 10100));  // Of a request sent before.
+  CHECK_FALSE(health.record_peer_failure("vm-1", 10100));  // Request sent before the avoidance.
   CHECK(health.avoid_until() == 10510);
   CHECK_FALSE(health.record_peer_failure("vm-1", 10400));
   CHECK(health.avoid_until() == 11400);
 }
 
-TEST_CASE("that a suspected upstream serves is told to peers") {
+TEST_CASE("A success of a suspected upstream is reported to peers") {
   auto fixture = link_fixture{};
   fixture.request("u0", upstream_outcome::served);
-  CHECK(fixture.told_.empty());
+  CHECK(fixture.reports_.empty());
   fixture.directory_->apply_peer_report("vm-2", {"u0", true});
   fixture.request("u0", upstream_outcome::served);
-  REQUIRE(fixture.told_.size() == 1);
-  CHECK_FALSE(fixture.told_[0].failed_);
+  REQUIRE(fixture.reports_.size() == 1);
+  CHECK_FALSE(fixture.reports_[0].failed_);
 }
 
 }  // namespace birchlever
--- a/unit_tests/upstream/upstream_directory_test.cpp
+++ b/unit_tests/upstream/upstream_directory_test.cpp
@@ -1,4 +1,4 @@
-/// The choice of an upstream: prefix, load, evidence.
+/// Tests of upstream selection by cached prefix, load and health.
 #include "birchlever/upstream/upstream_directory.h"
 
 #include <catch2/catch.hpp>
@@ -15,27 +15,27 @@
   return entry;
 }
 
-auto wish_for(std::vector<prompt_part> parts) -> upstream_criteria {
-  auto wish = upstream_criteria{};
-  wish.service_ = "chat";
-  wish.parts_ = std::move(parts);
-  for (const auto& part : wish.parts_) {
-    wish.prompt_tokens_ += part.tokens_;
+auto criteria_for(std::vector<prompt_part> parts) -> upstream_criteria {
+  auto criteria = upstream_criteria{};
+  criteria.service_ = "chat";
+  criteria.parts_ = std::move(parts);
+  for (const auto& part : criteria.parts_) {
+    criteria.prompt_tokens_ += part.tokens_;
   }
-  wish.max_tokens_ = 100;
-  wish.cache_capacity_ = 10000;
-  return wish;
+  criteria.max_tokens_ = 100;
+  criteria.cache_capacity_ = 10000;
+  return criteria;
 }
 
-/// Two engines and the program-aware policy.
+/// Directory of two engines with the program-aware policy.
 struct directory_fixture {
   directory_fixture() {
     directory_.put(entry_of("u1"));
     directory_.put(entry_of("u2"));
   }
 
-  auto chosen(const upstream_criteria& wish) -> std::string {
-    auto choice = directory_.choose(*policy_, wish);
+  auto chosen(const upstream_criteria& criteria) -> std::string {
+    auto choice = directory_.choose(*policy_, criteria);
     return ok(choice) ? value(choice).chosen_->entry().id_ : std::string{};
   }
 
@@ -46,123 +46,124 @@
 
 }  // namespace
 
-TEST_CASE("daemons that know nothing of each other send a program's turns to one upstream") {
-  auto here = directory_fixture{};
-  auto there = directory_fixture{};
+TEST_CASE("Independent daemons send a program's turns to the same upstream") {
+  auto first_daemon = directory_fixture{};
+  auto second_daemon = directory_fixture{};
   for (auto program = 0U; program < 16; ++program) {
-    auto wish = wish_for({{1, 500}, {2, 600}});
-    wish.affinity_key_ = "p" + std::to_string(program);
-    wish.seed_ = program;
-    auto first = here.chosen(wish);
-    wish.seed_ = program + 1;
-    CHECK(there.chosen(wish) == first);
+    auto criteria = criteria_for({{1, 500}, {2, 600}});
+    criteria.affinity_key_ = "p" + std::to_string(program);
+    criteria.seed_ = program;
+    auto first = first_daemon.chosen(criteria);
+    criteria.seed_ = program + 1;
+    CHECK(second_daemon.chosen(criteria) == first);
   }
 }
 
-TEST_CASE("a program leaves its home upstream when that is much fuller than others") {
+TEST_CASE("A program leaves its affinity upstream when that is much more loaded than others") {
   auto fixture = directory_fixture{};
-  auto wish = wish_for({{1, 500}, {2, 600}});
-  wish.affinity_key_ = "p1";
-  auto home = fixture.chosen(wish);
-  fixture.directory_.set_running_elsewhere(home, 40);
-  CHECK(fixture.chosen(wish) != home);
+  auto criteria = criteria_for({{1, 500}, {2, 600}});
+  criteria.affinity_key_ = "p1";
+  auto affinity = fixture.chosen(criteria);
+  fixture.directory_.set_running_elsewhere(affinity, 40);
+  CHECK(fixture.chosen(criteria) != affinity);
 }
 
-TEST_CASE("a prompt goes where its leading parts are") {
+TEST_CASE("A prompt is sent to the engine that has its prefix cached") {
   auto fixture = directory_fixture{};
-  auto wish = wish_for({{1, 2000}, {2, 500}});
+  auto criteria = criteria_for({{1, 2000}, {2, 500}});
   auto first = fixture.directory_.find("u2");
-  auto began = fixture.directory_.record_sent(*first, wish);
-  fixture.directory_.record_finished(*first, began, upstream_outcome::served);
+  auto sent_at = fixture.directory_.record_sent(*first, criteria);
+  fixture.directory_.record_finished(*first, sent_at, upstream_outcome::served);
   for (auto seed = 0U; seed < 8; ++seed) {
-    wish.seed_ = seed;
-    REQUIRE(fixture.chosen(wish) == "u2");
+    criteria.seed_ = seed;
+    REQUIRE(fixture.chosen(criteria) == "u2");
   }
 }
 
-TEST_CASE("a full upstream is left for an idle one, prefix or not") {
+TEST_CASE("An idle upstream is preferred over a full one with the cached prefix") {
   auto fixture = directory_fixture{};
-  auto wish = wish_for({{1, 500}});
+  auto criteria = criteria_for({{1, 500}});
   auto busy = fixture.directory_.find("u2");
   for (auto number = 0; number < 30; ++number) {
-    fixture.directory_.record_sent(*busy, wish);
+    fixture.directory_.record_sent(*busy, criteria);
   }
-  REQUIRE(fixture.chosen(wish) == "u1");
+  REQUIRE(fixture.chosen(criteria) == "u1");
 }
 
-TEST_CASE("two failures in a row make an upstream avoided, one that is left alone is still used") {
+TEST_CASE("An upstream is avoided after two consecutive failures but used if no other is left") {
   auto fixture = directory_fixture{};
-  auto wish = wish_for({});
-  auto bad = fixture.directory_.find("u1");
+  auto criteria = criteria_for({});
+  auto failing = fixture.directory_.find("u1");
   for (auto failures = 0; failures < 2; ++failures) {
-    auto began = fixture.directory_.record_sent(*bad, wish);
-    fixture.directory_.record_finished(*bad, began, upstream_outcome::failed);
+    auto sent_at = fixture.directory_.record_sent(*failing, criteria);
+    fixture.directory_.record_finished(*failing, sent_at, upstream_outcome::failed);
   }
   for (auto seed = 0U; seed < 8; ++seed) {
-    wish.seed_ = seed;
-    REQUIRE(fixture.chosen(wish) == "u2");
+    criteria.seed_ = seed;
+    REQUIRE(fixture.chosen(criteria) == "u2");
   }
-  wish.excluded_ = {"u2"};
-  REQUIRE(fixture.chosen(wish) == "u1");
-  wish.excluded_ = {"u1", "u2"};
-  REQUIRE(fixture.chosen(wish).empty());
+  criteria.excluded_ = {"u2"};
+  REQUIRE(fixture.chosen(criteria) == "u1");
+  criteria.excluded_ = {"u1", "u2"};
+  REQUIRE(fixture.chosen(criteria).empty());
 }
 
-TEST_CASE("an upstream at which this daemon has used its share of connections counts as full") {
+TEST_CASE("An upstream counts as full when this daemon reaches its limit of requests there") {
   auto fixture = directory_fixture{};
-  auto wish = wish_for({});
+  auto criteria = criteria_for({});
   auto busy = fixture.directory_.find("u2");
   for (auto number = 0; number < 2; ++number) {
-    fixture.directory_.record_sent(*busy, wish);
+    fixture.directory_.record_sent(*busy, criteria);
     fixture.directory_.set_running_elsewhere("u1", 3);
   }
-  REQUIRE(fixture.chosen(wish) == "u2");
-  wish.max_local_in_flight_ = 2;
-  REQUIRE(fixture.chosen(wish) == "u1");
+  REQUIRE(fixture.chosen(criteria) == "u2");
+  criteria.max_local_in_flight_ = 2;
+  REQUIRE(fixture.chosen(criteria) == "u1");
 }
 
-TEST_CASE("failures that peers tell count like own ones, and so does that it serves again") {
+TEST_CASE("Failures and successes reported by peers are taken into account") {
   auto fixture = directory_fixture{};
-  auto told = std::vector<upstream_health_report>{};
-  fixture.directory_.on_health_report([&](const upstream_health_report& news) { told.push_back(news); });
-  auto wish = wish_for({});
-  auto good = fixture.directory_.find("u2");
-  auto began = fixture.directory_.record_sent(*good, wish);
-  fixture.directory_.record_response_started(*good,
-                                             began);  // Without it this daemon's own link could be the cause.
-  fixture.directory_.record_finished(*good, began, upstream_outcome::served);
-  auto bad = fixture.directory_.find("u1");
-  began = fixture.directory_.record_sent(*bad, wish);
-  fixture.directory_.record_finished(*bad, began, upstream_outcome::failed);
-  REQUIRE(told.size() == 1);
-  REQUIRE(told[0].failed_);
+  auto reports = std::vector<upstream_health_report>{};
+  fixture.directory_.on_health_report(
+      [&](const upstream_health_report& report) { reports.push_back(report); });
+  auto criteria = criteria_for({});
+  auto healthy = fixture.directory_.find("u2");
+  auto sent_at = fixture.directory_.record_sent(*healthy, criteria);
+  fixture.directory_.record_response_started(*healthy,
+                                             sent_at);  // Proves that the link is healthy.
+  fixture.directory_.record_finished(*healthy, sent_at, upstream_outcome::served);
+  auto failing = fixture.directory_.find("u1");
+  sent_at = fixture.directory_.record_sent(*failing, criteria);
+  fixture.directory_.record_finished(*failing, sent_at, upstream_outcome::failed);
+  REQUIRE(reports.size() == 1);
+  REQUIRE(reports[0].failed_);
   fixture.directory_.apply_peer_report("vm-2", {"u1", true});
   fixture.directory_.apply_peer_report("vm-2", {"unknown", true});
-  REQUIRE(told.size() == 1);  // What is heard is not told on.
+  REQUIRE(reports.size() == 1);  // Reports of peers are not forwarded.
   for (auto seed = 0U; seed < 8; ++seed) {
-    wish.seed_ = seed;
-    REQUIRE(fixture.chosen(wish) == "u2");
+    criteria.seed_ = seed;
+    REQUIRE(fixture.chosen(criteria) == "u2");
   }
   fixture.directory_.apply_peer_report("vm-2", {"u1", false});
   auto used = std::set<std::string>{};
   for (auto seed = 0U; seed < 8; ++seed) {
-    wish.seed_ = seed;
-    used.insert(fixture.chosen(wish));
+    criteria.seed_ = seed;
+    used.insert(fixture.chosen(criteria));
   }
   REQUIRE(used.count("u1") == 1);
 }
 
-TEST_CASE("when most of a service is avoided, all of it is used, so that a few do not get the load of all") {
+TEST_CASE("Avoided upstreams are used again when too few healthy ones are left") {
   auto fixture = directory_fixture{};
   for (const auto* id : {"u3", "u4", "u5"}) {
     fixture.directory_.put(entry_of(id));
   }
-  auto wish = wish_for({});
+  auto criteria = criteria_for({});
   auto choices = [&] {
     auto used = std::set<std::string>{};
     for (auto seed = 0U; seed < 40; ++seed) {
-      wish.seed_ = seed;
-      used.insert(fixture.chosen(wish));
+      criteria.seed_ = seed;
+      used.insert(fixture.chosen(criteria));
     }
     return used.size();
   };
@@ -178,12 +179,12 @@
   REQUIRE(choices() == 5);
 }
 
-TEST_CASE("an avoidance grows with failures that follow it, not with those sent before it") {
+TEST_CASE("An avoidance is extended by later failures but not by requests sent before it") {
   auto health = upstream_health{};
   CHECK_FALSE(health.record_failure(10000));
   CHECK(health.record_failure(10010));
   CHECK(health.avoid_until() == 10510);
-  CHECK_FALSE(health.record_failure(10020));  // Was under way.
+  CHECK_FALSE(health.record_failure(10020));  // Sent before the avoidance.
   CHECK(health.avoid_until() == 10510);
   CHECK(health.record_failure(10600));
   CHECK(health.avoid_until() == 11600);
@@ -191,20 +192,20 @@
   CHECK_FALSE(health.avoided(10700));
 }
 
-TEST_CASE("failures that lie far apart do not add up") {
+TEST_CASE("Failures far apart in time do not add up") {
   auto health = upstream_health{};
   for (auto now = milliseconds{10000}; now < 60000; now += 2000) {
     CHECK_FALSE(health.record_failure(now));
   }
 }
 
-TEST_CASE("an upstream hangs when requests wait and nothing was answered for long") {
+TEST_CASE("An upstream is stalled when requests are pending without any response") {
   auto health = upstream_health{};
   health.record_sent(10000);
   health.record_sent(10900);
   CHECK_FALSE(health.detect_stall(11400));
   health.record_response(10900, 11450);
-  CHECK_FALSE(health.detect_stall(11600));  // It answers others.
+  CHECK_FALSE(health.detect_stall(11600));  // Responds to other requests.
   CHECK(health.detect_stall(13000));
   CHECK(health.avoided(13100));
   CHECK_FALSE(health.detect_stall(13100));
@@ -212,7 +213,7 @@
   CHECK_FALSE(health.detect_stall(20000));
 }
 
-TEST_CASE("the view of a cache holds leading parts only and forgets the oldest") {
+TEST_CASE("The cache model counts prefixes only and evicts the least recently used part") {
   auto cache = prompt_cache{};
   cache.set_capacity(1000);
   cache.record_use({{1, 400}, {2, 300}});
--- a/unit_tests/upstream/upstream_start_test.cpp
+++ b/unit_tests/upstream/upstream_start_test.cpp
@@ -1,4 +1,4 @@
-/// Upstreams that start again, halls that operators close, regions, and upstreams that have just started.
+/// Tests of upstream restarts, closed data halls, region constraints, cold starts and sampling.
 #include <catch2/catch.hpp>
 #include <chrono>
 
@@ -17,11 +17,11 @@
   return entry;
 }
 
-auto plain_wish(std::uint64_t seed = 0) -> upstream_criteria {
-  auto wish = upstream_criteria{};
-  wish.service_ = "chat";
-  wish.seed_ = seed;
-  return wish;
+auto make_criteria(std::uint64_t seed = 0) -> upstream_criteria {
+  auto criteria = upstream_criteria{};
+  criteria.service_ = "chat";
+  criteria.seed_ = seed;
+  return criteria;
 }
 
 struct start_fixture {
@@ -40,8 +40,8 @@
     return made;
   }
 
-  auto chosen(const upstream_criteria& wish) -> std::string {
-    auto choice = directory_.choose(*policy_, wish);
+  auto chosen(const upstream_criteria& criteria) -> std::string {
+    auto choice = directory_.choose(*policy_, criteria);
     return ok(choice) ? value(choice).chosen_->entry().id_ : std::string{};
   }
 
@@ -53,81 +53,81 @@
 
 }  // namespace
 
-TEST_CASE(
-    "another start under the same id is another upstream, and what waits at the former is told at once") {
+TEST_CASE("A new incarnation replaces an upstream, notifies its pending requests and inherits no state") {
   auto fixture = start_fixture{};
   fixture.directory_.put(entry_in("u1", "a", 1000));
-  auto former = fixture.directory_.find("u1");
-  auto wish = plain_wish();
-  wish.parts_ = {{1, 500}};
-  wish.cache_capacity_ = 10000;
-  auto began = fixture.directory_.record_sent(*former, wish);
-  auto told = 0;
-  former->on_replaced([&told] { ++told; });
+  auto old_incarnation = fixture.directory_.find("u1");
+  auto criteria = make_criteria();
+  criteria.parts_ = {{1, 500}};
+  criteria.cache_capacity_ = 10000;
+  auto began = fixture.directory_.record_sent(*old_incarnation, criteria);
+  auto notifications = 0;
+  old_incarnation->on_replaced([&notifications] { ++notifications; });
   fixture.directory_.put(entry_in("u1", "a", 2000));
-  auto latter = fixture.directory_.find("u1");
-  REQUIRE(told == 1);
-  REQUIRE(latter != former);
-  CHECK_FALSE(former->accepts_requests());
-  CHECK(latter->running() == 0);
+  auto new_incarnation = fixture.directory_.find("u1");
+  REQUIRE(notifications == 1);
+  REQUIRE(new_incarnation != old_incarnation);
+  CHECK_FALSE(old_incarnation->accepts_requests());
+  CHECK(new_incarnation->running() == 0);
   for (auto failures = 0; failures < 3; ++failures) {
     fixture.directory_.apply_peer_report("vm-2", {"u1", true, 1000});
     fixture.directory_.apply_peer_report("vm-3", {"u1", true, 1000});
   }
-  fixture.directory_.record_finished(*former, began, upstream_outcome::failed);
-  CHECK(latter->health().weight() == 0);
-  fixture.directory_.put(entry_in("u1", "a", 1000));  // Told late.
-  CHECK(fixture.directory_.find("u1") == latter);
+  fixture.directory_.record_finished(*old_incarnation, began, upstream_outcome::failed);
+  CHECK(new_incarnation->health().weight() == 0);
+  fixture.directory_.put(entry_in("u1", "a", 1000));  // Outdated entry.
+  CHECK(fixture.directory_.find("u1") == new_incarnation);
 }
 
-TEST_CASE("failures at a former start are no news for peers, those at the latter are") {
+TEST_CASE("Only failures of the current incarnation are reported to peers") {
   auto fixture = start_fixture{};
-  auto told = std::vector<upstream_health_report>{};
-  fixture.directory_.on_health_report([&told](const upstream_health_report& news) { told.push_back(news); });
+  auto reports = std::vector<upstream_health_report>{};
+  fixture.directory_.on_health_report(
+      [&reports](const upstream_health_report& report) { reports.push_back(report); });
   fixture.directory_.put(entry_in("u1", "a", 1000));
   fixture.directory_.put(entry_in("u2", "a", 1000));
   auto answering = fixture.directory_.find("u2");
-  auto former = fixture.directory_.find("u1");
-  auto began = fixture.directory_.record_sent(*former, plain_wish());
+  auto old_incarnation = fixture.directory_.find("u1");
+  auto began = fixture.directory_.record_sent(*old_incarnation, make_criteria());
   fixture.directory_.put(entry_in("u1", "a", 2000));
-  auto answered = fixture.directory_.record_sent(*answering, plain_wish());
+  auto answered = fixture.directory_.record_sent(*answering, make_criteria());
   fixture.directory_.record_response_started(*answering, answered);
   fixture.directory_.record_finished(*answering, answered, upstream_outcome::served);
-  fixture.directory_.record_finished(*former, began, upstream_outcome::failed);
-  CHECK(told.empty());
-  auto latter = fixture.directory_.find("u1");
-  began = fixture.directory_.record_sent(*latter, plain_wish());
-  fixture.directory_.record_finished(*latter, began, upstream_outcome::failed);
-  REQUIRE(told.size() == 1);
-  CHECK(told[0].born_ == 2000);
+  fixture.directory_.record_finished(*old_incarnation, began, upstream_outcome::failed);
+  CHECK(reports.empty());
+  auto new_incarnation = fixture.directory_.find("u1");
+  began = fixture.directory_.record_sent(*new_incarnation, make_criteria());
+  fixture.directory_.record_finished(*new_incarnation, began, upstream_outcome::failed);
+  REQUIRE(reports.size() == 1);
+  CHECK(reports[0].born_ == 2000);
 }
 
-TEST_CASE("a session goes on at the start that ran it, not at another one under the same id") {
+TEST_CASE("A session continues at the incarnation that ran it, not at a new one with the same id") {
   auto fixture = start_fixture{};
   fixture.policy_ =
       value(make_policy(policy_settings{policy_kind::program_aware, {{"prefill_rate", 45000}}}));
   fixture.directory_.put(entry_in("u1", "a", 1000));
   fixture.directory_.put(entry_in("u2", "a", 1000));
-  auto wish = plain_wish();
-  wish.parts_ = {{1, 3000}, {2, 100}};
-  wish.prompt_tokens_ = 3100;
-  wish.cache_capacity_ = 10000;
-  wish.last_upstream_ = incarnation_of(fixture.directory_.find("u1")->entry());
-  CHECK(id_of_incarnation(wish.last_upstream_) == "u1");
+  auto criteria = make_criteria();
+  criteria.parts_ = {{1, 3000}, {2, 100}};
+  criteria.prompt_tokens_ = 3100;
+  criteria.cache_capacity_ = 10000;
+  criteria.last_upstream_ = incarnation_of(fixture.directory_.find("u1")->entry());
+  CHECK(id_of_incarnation(criteria.last_upstream_) == "u1");
   for (auto seed = 0U; seed < 8; ++seed) {
-    wish.seed_ = seed;
-    CHECK(fixture.chosen(wish) == "u1");
+    criteria.seed_ = seed;
+    CHECK(fixture.chosen(criteria) == "u1");
   }
   fixture.directory_.put(entry_in("u1", "a", 2000));
   auto used = std::set<std::string>{};
   for (auto seed = 0U; seed < 8; ++seed) {
-    wish.seed_ = seed;
-    used.insert(fixture.chosen(wish));
+    criteria.seed_ = seed;
+    used.insert(fixture.chosen(criteria));
   }
   CHECK(used.size() == 2);
 }
 
-TEST_CASE("a closed hall gets nothing, also what waited for a connection there, until it is opened") {
+TEST_CASE("A closed data hall gets no requests until it is opened") {
   auto fixture = start_fixture{};
   fixture.directory_.put(entry_in("u1", "a"));
   fixture.directory_.put(entry_in("u2", "b"));
@@ -135,40 +135,40 @@
   auto waiting_for = fixture.directory_.find("u1");
   fixture.directory_.close_halls({"a", "b"});
   CHECK_FALSE(waiting_for->accepts_requests());
-  fixture.directory_.put(entry_in("u4", "b"));  // Starts meanwhile.
+  fixture.directory_.put(entry_in("u4", "b"));  // Added while its hall is closed.
   for (auto seed = 0U; seed < 8; ++seed) {
-    CHECK(fixture.chosen(plain_wish(seed)) == "u3");
+    CHECK(fixture.chosen(make_criteria(seed)) == "u3");
   }
   fixture.directory_.close_halls({"b", "c"});
-  CHECK(fixture.chosen(plain_wish()) == "u1");
+  CHECK(fixture.chosen(make_criteria()) == "u1");
   fixture.directory_.close_halls({"a", "b", "c"});
-  CHECK(fixture.chosen(plain_wish()).empty());
+  CHECK(fixture.chosen(make_criteria()).empty());
 }
 
-TEST_CASE("bounds of a route and of a client account both hold, and an unknown hall lies outside of all") {
+TEST_CASE("Region constraints intersect, and halls without a region violate every constraint") {
   auto fixture = start_fixture{1, "a=north,b=south"};
   fixture.directory_.put(entry_in("u1", "a"));
   fixture.directory_.put(entry_in("u2", "b"));
   fixture.directory_.put(entry_in("u3", "nowhere"));
-  auto wish = plain_wish();
-  wish.regions_.add({});
-  wish.regions_.add({"south", "north"});
-  wish.regions_.add({"south", "west"});
+  auto criteria = make_criteria();
+  criteria.regions_.add({});
+  criteria.regions_.add({"south", "north"});
+  criteria.regions_.add({"south", "west"});
   for (auto seed = 0U; seed < 8; ++seed) {
-    wish.seed_ = seed;
-    CHECK(fixture.chosen(wish) == "u2");
+    criteria.seed_ = seed;
+    CHECK(fixture.chosen(criteria) == "u2");
   }
-  wish.regions_.add({"north"});
-  CHECK(fixture.chosen(wish).empty());
+  criteria.regions_.add({"north"});
+  CHECK(fixture.chosen(criteria).empty());
   CHECK_FALSE(ok(hall_regions::parse("a=north,b")));
   CHECK_FALSE(ok(hall_regions::parse("a=north,a=south")));
 }
 
-/// Load pattern: a hall comes back cold under full load. Every daemon has more requests than it could send.
-/// The bound is the platform's: in any second half as many again as the rate, and five.
-TEST_CASE("all daemons together keep to what a cold upstream bears, whenever they learned of it") {
+/// Every daemon always has requests to send. The platform allows 1.5 times the rate plus five requests in any
+/// second.
+TEST_CASE("The rate limit of a cold upstream holds for the sum of all daemons") {
   constexpr auto daemons = 58;
-  constexpr auto per_s = 32.0;
+  constexpr auto limit_per_s = 32.0;
   constexpr auto step = milliseconds{10};
   auto fleet = std::vector<std::unique_ptr<start_fixture>>{};
   for (auto number = 0; number < daemons; ++number) {
@@ -177,16 +177,16 @@
     entry.cold_left_ = 60'000;
     fleet.back()->directory_.put(entry);
   }
-  auto wish = plain_wish();
-  wish.cold_start_ = {per_s, daemons, 3000};
+  auto criteria = make_criteria();
+  criteria.cold_start_ = {limit_per_s, daemons, 3000};
   auto sent = std::vector<milliseconds>{};
   for (auto now = milliseconds{0}; now < 30'000; now += step) {
     for (auto& daemon : fleet) {
       daemon->clock_->advance(step);
-      if (!daemon->chosen(wish).empty()) {
-        auto one = daemon->directory_.find("u1");
-        auto began = daemon->directory_.record_sent(*one, wish);
-        daemon->directory_.record_finished(*one, began, upstream_outcome::served);
+      if (!daemon->chosen(criteria).empty()) {
+        auto target = daemon->directory_.find("u1");
+        auto began = daemon->directory_.record_sent(*target, criteria);
+        daemon->directory_.record_finished(*target, began, upstream_outcome::served);
         sent.push_back(now);
       }
     }
@@ -198,25 +198,26 @@
     }
     most = std::max(most, last - first + 1);
   }
-  CHECK(static_cast<double>(most) <= per_s * 1.5 + 5);
-  CHECK(static_cast<double>(sent.size()) >= 30 * per_s / 4);  // And it is not left without work.
+  CHECK(static_cast<double>(most) <= limit_per_s * 1.5 + 5);
+  CHECK(static_cast<double>(sent.size()) >= 30 * limit_per_s / 4);  // The upstream is not left idle.
 }
 
-TEST_CASE("a hall that was just opened may have cold upstreams, one whose start is over has none") {
+TEST_CASE("Upstreams of a reopened data hall are cold until the cold start time has passed") {
   auto fixture = start_fixture{};
   fixture.directory_.put(entry_in("u1", "a"));
-  auto one = fixture.directory_.find("u1");
+  auto target = fixture.directory_.find("u1");
   auto limit = cold_start_limit{32, 58, 3000};
-  CHECK_FALSE(one->cold(limit, fixture.clock_->now()));
+  CHECK_FALSE(target->cold(limit, fixture.clock_->now()));
   fixture.directory_.close_halls({"a"});
   fixture.directory_.close_halls({});
-  CHECK(one->cold(limit, fixture.clock_->now()));
-  CHECK_FALSE(one->cold(cold_start_limit{}, fixture.clock_->now()));  // Nothing bounds it.
+  CHECK(target->cold(limit, fixture.clock_->now()));
+  CHECK_FALSE(target->cold(cold_start_limit{}, fixture.clock_->now()));  // No limit.
   fixture.clock_->advance(3001);
-  CHECK_FALSE(one->cold(limit, fixture.clock_->now()));
+  CHECK_FALSE(target->cold(limit, fixture.clock_->now()));
 }
 
-TEST_CASE("a choice among thousands weighs some dozen, with the last and the home upstream among them") {
+TEST_CASE(
+    "A selection from a large pool considers a sample that includes the previous and the affinity upstream") {
   constexpr auto upstreams = 10'000;
   auto fixture = start_fixture{};
   fixture.policy_ =
@@ -224,33 +225,33 @@
   for (auto number = 0; number < upstreams; ++number) {
     fixture.directory_.put(entry_in("u" + std::to_string(number), number % 5 == 0 ? "a" : "b"));
   }
-  auto wish = plain_wish(77);
-  wish.parts_ = {{1, 3000}, {2, 100}};
-  wish.prompt_tokens_ = 3100;
-  wish.cache_capacity_ = 10000;
-  auto choice = fixture.directory_.choose(*fixture.policy_, wish);
+  auto criteria = make_criteria(77);
+  criteria.parts_ = {{1, 3000}, {2, 100}};
+  criteria.prompt_tokens_ = 3100;
+  criteria.cache_capacity_ = 10000;
+  auto choice = fixture.directory_.choose(*fixture.policy_, criteria);
   REQUIRE(ok(choice));
   CHECK(value(choice).candidates_ <= 64);
-  wish.last_upstream_ = "u4321";
-  CHECK(fixture.chosen(wish) == "u4321");
-  wish.last_upstream_.clear();
-  wish.affinity_key_ = "p1";
-  auto home = fixture.chosen(wish);
+  criteria.last_upstream_ = "u4321";
+  CHECK(fixture.chosen(criteria) == "u4321");
+  criteria.last_upstream_.clear();
+  criteria.affinity_key_ = "p1";
+  auto affinity = fixture.chosen(criteria);
   auto other = start_fixture{2};
   other.policy_ = value(make_policy(policy_settings{policy_kind::program_aware, {{"prefill_rate", 45000}}}));
   for (auto number = upstreams - 1; number >= 0; --number) {
     other.directory_.put(entry_in("u" + std::to_string(number), number % 5 == 0 ? "a" : "b"));
   }
-  wish.seed_ = 78;
-  CHECK(other.chosen(wish) == home);
-  auto excluded = plain_wish(5);
+  criteria.seed_ = 78;
+  CHECK(other.chosen(criteria) == affinity);
+  auto excluded = make_criteria(5);
   for (auto number = 0; number < upstreams - 1; ++number) {
     excluded.excluded_.insert("u" + std::to_string(number));
   }
-  CHECK(fixture.chosen(excluded) == "u9999");  // The only one left is found though no sample holds it.
+  CHECK(fixture.chosen(excluded) == "u9999");  // Found although outside the sample.
 }
 
-TEST_CASE("a choice costs about the same before a hundred upstreams and before twenty thousand") {
+TEST_CASE("The cost of a selection does not grow with the number of upstreams") {
   constexpr auto choices = 2000U;
   auto cost_of = [](int upstreams) {
     auto fixture = start_fixture{};
@@ -259,37 +260,37 @@
     for (auto number = 0; number < upstreams; ++number) {
       fixture.directory_.put(entry_in("u" + std::to_string(number), number % 5 == 0 ? "a" : "b"), false);
     }
-    auto wish = plain_wish();
-    wish.parts_ = {{1, 3000}, {2, 100}};
-    wish.prompt_tokens_ = 3100;
-    wish.cache_capacity_ = 10000;
+    auto criteria = make_criteria();
+    criteria.parts_ = {{1, 3000}, {2, 100}};
+    criteria.prompt_tokens_ = 3100;
+    criteria.cache_capacity_ = 10000;
     auto began = std::chrono::steady_clock::now();
     for (auto seed = 0U; seed < choices; ++seed) {
-      wish.seed_ = seed * 2'654'435'761U;
-      REQUIRE(ok(fixture.directory_.choose(*fixture.policy_, wish)));
+      criteria.seed_ = seed * 2'654'435'761U;
+      REQUIRE(ok(fixture.directory_.choose(*fixture.policy_, criteria)));
     }
     return std::chrono::steady_clock::now() - began;
   };
-  // Within one run: a walk over all would cost a hundred times as much. Samples miss the processor's caches.
+  // Guards against scanning the whole pool; allows for cache misses in large pools.
   CHECK(cost_of(20'000) <= 3 * cost_of(150));
 }
 
-TEST_CASE("among thousands the busiest upstream gets little more than the mean") {
+TEST_CASE("Sampling distributes requests evenly over a large pool") {
   auto fixture = start_fixture{};
   constexpr auto upstreams = 1000;
-  constexpr auto requests = upstreams * 3;  // Half of the places.
+  constexpr auto requests = upstreams * 3;  // Half of the slots.
   for (auto number = 0; number < upstreams; ++number) {
     fixture.directory_.put(entry_in("u" + std::to_string(number), "a"), false);
   }
   auto most = 0;
   for (auto request = 0U; request < requests; ++request) {
-    auto wish = plain_wish(request * 0x9e3779b97f4a7c15U);
-    auto choice = fixture.directory_.choose(*fixture.policy_, wish);
+    auto criteria = make_criteria(request * 0x9e3779b97f4a7c15U);
+    auto choice = fixture.directory_.choose(*fixture.policy_, criteria);
     REQUIRE(ok(choice));
-    fixture.directory_.record_sent(*value(choice).chosen_, wish);
+    fixture.directory_.record_sent(*value(choice).chosen_, criteria);
     most = std::max(most, value(choice).chosen_->running());
   }
-  CHECK(most <= 1.34 * requests / upstreams);  // Whole requests: four where three are the mean.
+  CHECK(most <= 1.34 * requests / upstreams);  // Four requests with a mean of three.
 }
 
 }  // namespace birchlever
