--- a/unit_tests/upstream/upstream_start_test.cpp
+++ b/unit_tests/upstream/upstream_start_test.cpp
@@ -60,7 +60,7 @@
   auto criteria = make_criteria();
   criteria.parts_ = {{1, 500}};
   criteria.cache_capacity_ = 10000;
-  auto began = fixture.directory_.record_sent(*old_incarnation, criteria);
+  auto sent_at = fixture.directory_.record_sent(*old_incarnation, criteria);
   auto notifications = 0;
   old_incarnation->on_replaced([&notifications] { ++notifications; });
   fixture.directory_.put(entry_in("u1", "a", 2000));
@@ -73,7 +73,7 @@
     fixture.directory_.apply_peer_report("vm-2", {"u1", true, 1000});
     fixture.directory_.apply_peer_report("vm-3", {"u1", true, 1000});
   }
-  fixture.directory_.record_finished(*old_incarnation, began, upstream_outcome::failed);
+  fixture.directory_.record_finished(*old_incarnation, sent_at, upstream_outcome::failed);
   CHECK(new_incarnation->health().weight() == 0);
   fixture.directory_.put(entry_in("u1", "a", 1000));  // Outdated entry.
   CHECK(fixture.directory_.find("u1") == new_incarnation);
@@ -88,16 +88,16 @@
   fixture.directory_.put(entry_in("u2", "a", 1000));
   auto answering = fixture.directory_.find("u2");
   auto old_incarnation = fixture.directory_.find("u1");
-  auto began = fixture.directory_.record_sent(*old_incarnation, make_criteria());
+  auto sent_at = fixture.directory_.record_sent(*old_incarnation, make_criteria());
   fixture.directory_.put(entry_in("u1", "a", 2000));
-  auto answered = fixture.directory_.record_sent(*answering, make_criteria());
-  fixture.directory_.record_response_started(*answering, answered);
-  fixture.directory_.record_finished(*answering, answered, upstream_outcome::served);
-  fixture.directory_.record_finished(*old_incarnation, began, upstream_outcome::failed);
+  auto response_sent_at = fixture.directory_.record_sent(*answering, make_criteria());
+  fixture.directory_.record_response_started(*answering, response_sent_at);
+  fixture.directory_.record_finished(*answering, response_sent_at, upstream_outcome::served);
+  fixture.directory_.record_finished(*old_incarnation, sent_at, upstream_outcome::failed);
   CHECK(reports.empty());
   auto new_incarnation = fixture.directory_.find("u1");
-  began = fixture.directory_.record_sent(*new_incarnation, make_criteria());
-  fixture.directory_.record_finished(*new_incarnation, began, upstream_outcome::failed);
+  sent_at = fixture.directory_.record_sent(*new_incarnation, make_criteria());
+  fixture.directory_.record_finished(*new_incarnation, sent_at, upstream_outcome::failed);
   REQUIRE(reports.size() == 1);
   CHECK(reports[0].born_ == 2000);
 }
@@ -185,20 +185,20 @@
       daemon->clock_->advance(step);
       if (!daemon->chosen(criteria).empty()) {
         auto target = daemon->directory_.find("u1");
-        auto began = daemon->directory_.record_sent(*target, criteria);
-        daemon->directory_.record_finished(*target, began, upstream_outcome::served);
+        auto sent_at = daemon->directory_.record_sent(*target, criteria);
+        daemon->directory_.record_finished(*target, sent_at, upstream_outcome::served);
         sent.push_back(now);
       }
     }
   }
-  auto most = std::size_t{0};
+  auto max_in_second = std::size_t{0};
   for (auto first = std::size_t{0}, last = std::size_t{0}; last < sent.size(); ++last) {
     while (sent[last] - sent[first] > 1000) {
       ++first;
     }
-    most = std::max(most, last - first + 1);
+    max_in_second = std::max(max_in_second, last - first + 1);
   }
-  CHECK(static_cast<double>(most) <= limit_per_s * 1.5 + 5);
+  CHECK(static_cast<double>(max_in_second) <= limit_per_s * 1.5 + 5);
   CHECK(static_cast<double>(sent.size()) >= 30 * limit_per_s / 4);  // The upstream is not left idle.
 }
 
@@ -282,15 +282,15 @@
   for (auto number = 0; number < upstreams; ++number) {
     fixture.directory_.put(entry_in("u" + std::to_string(number), "a"), false);
   }
-  auto most = 0;
+  auto max_running = 0;
   for (auto request = 0U; request < requests; ++request) {
     auto criteria = make_criteria(request * 0x9e3779b97f4a7c15U);
     auto choice = fixture.directory_.choose(*fixture.policy_, criteria);
     REQUIRE(ok(choice));
     fixture.directory_.record_sent(*value(choice).chosen_, criteria);
-    most = std::max(most, value(choice).chosen_->running());
+    max_running = std::max(max_running, value(choice).chosen_->running());
   }
-  CHECK(most <= 1.34 * requests / upstreams);  // Four requests with a mean of three.
+  CHECK(max_running <= 1.34 * requests / upstreams);  // Four requests with a mean of three.
 }
 
 }  // namespace birchlever
