--- a/birchlever/gateway/account_filter.cpp
+++ b/birchlever/gateway/account_filter.cpp
@@ -3,7 +3,7 @@
 #include <limits>
 
 #include "birchlever/accounts/key_digest.h"
-#include "birchlever/gateway/caller_patience.h"
+#include "birchlever/gateway/hold_limit.h"
 #include "birchlever/gateway/configuration_freshness.h"
 #include "birchlever/gateway/route_filter.h"
 #include "birchlever/telemetry/log.h"
--- a/birchlever/gateway/caller_patience.cpp
+++ b/birchlever/gateway/hold_limit.cpp
@@ -1,4 +1,4 @@
-#include "birchlever/gateway/caller_patience.h"
+#include "birchlever/gateway/hold_limit.h"
 
 #include <algorithm>
 
--- a/birchlever/gateway/turn_filter.cpp
+++ b/birchlever/gateway/turn_filter.cpp
@@ -1,7 +1,7 @@
 #include "birchlever/gateway/turn_filter.h"
 
 #include "birchlever/coordination/program_store.h"
-#include "birchlever/gateway/caller_patience.h"
+#include "birchlever/gateway/hold_limit.h"
 #include "birchlever/telemetry/log.h"
 #include "birchlever/telemetry/metrics.h"
 
--- a/birchlever/gateway/upstream_offer.cpp
+++ b/birchlever/gateway/upstream_attempt.cpp
@@ -1,4 +1,4 @@
-#include "birchlever/gateway/upstream_offer.h"
+#include "birchlever/gateway/upstream_attempt.h"
 
 #include <array>
 
--- a/birchlever/gateway/upstream_dispatch.h
+++ b/birchlever/gateway/upstream_dispatch.h
@@ -3,7 +3,7 @@
 
 #include "birchlever/gateway/gateway_context.h"
 #include "birchlever/gateway/gateway_filter.h"
-#include "birchlever/gateway/upstream_offer.h"
+#include "birchlever/gateway/upstream_attempt.h"
 #include "birchlever/upstream/upstream_directory.h"
 
 namespace birchlever {
--- a/unit_tests/gateway/caller_patience_test.cpp
+++ b/unit_tests/gateway/hold_limit_test.cpp
@@ -1,5 +1,5 @@
 /// How long a stream is held for the store.
-#include "birchlever/gateway/caller_patience.h"
+#include "birchlever/gateway/hold_limit.h"
 
 #include <catch2/catch.hpp>
 
