--- a/birchlever/gateway/account_filter.cpp
+++ b/birchlever/gateway/account_filter.cpp
@@ -3,8 +3,8 @@
 #include <limits>
 
 #include "birchlever/accounts/key_digest.h"
-#include "birchlever/gateway/hold_limit.h"
 #include "birchlever/gateway/configuration_freshness.h"
+#include "birchlever/gateway/hold_limit.h"
 #include "birchlever/gateway/route_filter.h"
 #include "birchlever/telemetry/log.h"
 #include "birchlever/telemetry/metrics.h"
@@ -25,15 +25,15 @@
 }  // namespace
 
 auto account_filter::needed_knowledge(const gateway_request& request) const -> milliseconds {
-  const auto& trust = context_->trust_;
+  const auto& trust = context_->freshness_limits_;
   auto known = holder_of(request) != nullptr;
-  auto bound = known ? trust.known_key_ms_ : trust.unknown_key_ms_;
+  auto bound = known ? trust.known_key_max_age_ms_ : trust.unknown_key_max_age_ms_;
   return bound > 0 ? request.received_at_ - bound : any_knowledge;
 }
 
 auto account_filter::longest_hold(const gateway_request& request) const -> milliseconds {
   if (request.route_->kind_ == route_kind::streaming) {
-    return stream_patience(request, context_->trust_.stream_hold_ms_);
+    return stream_patience(request, context_->freshness_limits_.min_stream_hold_ms_);
   }
   return (request.due_ - request.received_at_) / holds_in_its_time;
 }
@@ -48,7 +48,7 @@
     co_return error{error_code::configuration_stale,
                     "what is known here of client accounts is too old to judge key " +
                         shown_digest(request.facts_.key_digest_),
-                    ran_state::not_run, context_->trust_.retry_ms_};
+                    ran_state::not_run, context_->freshness_limits_.retry_ms_};
   }
   request.configuration_ = context_->configuration_;
   co_return resolve_route(request);
--- a/birchlever/gateway/configuration_freshness.cpp
+++ b/birchlever/gateway/configuration_freshness.cpp
@@ -4,7 +4,7 @@
 
 namespace birchlever {
 
-auto configuration_freshness::note_look(milliseconds began_at) -> void {
+auto configuration_freshness::record_poll(milliseconds began_at) -> void {
   if (sure_at_ && *sure_at_ >= began_at) {
     return;
   }
--- a/birchlever/gateway/configuration_freshness.h
+++ b/birchlever/gateway/configuration_freshness.h
@@ -21,10 +21,10 @@
   explicit configuration_freshness(event_loop& loop) : changed_{loop} {}
 
   /// A look that began at this moment of our clock was answered, and what it told is in force here.
-  auto note_look(milliseconds began_at) -> void;
+  auto record_poll(milliseconds began_at) -> void;
 
   /// The latest such moment; none before the first look.
-  [[nodiscard]] auto sure_at() const -> std::optional<milliseconds> { return sure_at_; }
+  [[nodiscard]] auto verified_at() const -> std::optional<milliseconds> { return sure_at_; }
 
   /// True when the knowledge is at least as new as a moment of our clock.
   [[nodiscard]] auto covers(milliseconds moment) const -> bool { return sure_at_ && *sure_at_ >= moment; }
@@ -33,10 +33,10 @@
   auto wait_until_covers(milliseconds moment, milliseconds limit) -> task<bool>;
 
   /// True while a request waits.
-  [[nodiscard]] auto wanted() const -> bool { return waiting_ > 0; }
+  [[nodiscard]] auto has_waiters() const -> bool { return waiting_ > 0; }
 
   /// Called when a request begins to wait and none did before: then the store is to be asked at once.
-  auto on_wanted(std::function<void()> callback) -> void { on_wanted_ = std::move(callback); }
+  auto on_first_waiter(std::function<void()> callback) -> void { on_wanted_ = std::move(callback); }
 
  private:
   steady_clock clock_;
--- a/birchlever/gateway/gateway_context.h
+++ b/birchlever/gateway/gateway_context.h
@@ -26,15 +26,16 @@
   milliseconds safety_ms_ = 20;  ///< An upstream is given so much less than is left, for the way back.
   int most_offers_ = 6;          ///< Upstreams that may refuse a request before the caller is refused.
   std::size_t most_answer_bytes_ = 16U << 20U;  ///< A longer whole answer is not the upstream's.
-  milliseconds streaming_most_idle_ =
+  milliseconds streaming_max_idle_ms_ =
       3000;  ///< Kept connections older than this carry no request that may run only once.
 };
 
 /// For how long what is known of client accounts may be used, and what happens when it is older. All in ms.
-struct account_trust {
-  milliseconds known_key_ms_ = 0;    ///< Age at most of knowledge that honours a key; 0 means any age.
-  milliseconds unknown_key_ms_ = 0;  ///< Age at most of knowledge that refuses a key; 0 means any age.
-  milliseconds stream_hold_ms_ =
+struct account_freshness_limits {
+  milliseconds known_key_max_age_ms_ = 0;  ///< Age at most of knowledge that honours a key; 0 means any age.
+  milliseconds unknown_key_max_age_ms_ =
+      0;  ///< Age at most of knowledge that refuses a key; 0 means any age.
+  milliseconds min_stream_hold_ms_ =
       1000;                       ///< A stream may wait at least so long for newer knowledge or the store:
                                   ///< half of the shortest silence after which callers leave one.
   milliseconds retry_ms_ = 3000;  ///< When a caller that waited in vain is told to come back.
@@ -54,14 +55,15 @@
   std::string service_policy_;  ///< Name of the policy that chooses plain upstreams.
   steady_clock clock_;
   gateway_limits limits_;
-  account_trust trust_;
+  account_freshness_limits freshness_limits_;
   account_usage usage_;
   std::shared_ptr<configuration_freshness> freshness_;  ///< Needed where client accounts are told apart.
   std::shared_ptr<allotment_policy> allotments_;        ///< None: no account is limited.
-  std::int64_t daemons_ = 1;    ///< Listed daemons, this one included: they share the upstreams' connections.
-  bool home_upstreams_ = true;  ///< Turns of which nothing is kept prefer one upstream a program.
+  std::int64_t daemon_count_ =
+      1;  ///< Listed daemons, this one included: they share the upstreams' connections.
+  bool program_affinity_ = true;  ///< Turns of which nothing is kept prefer one upstream a program.
   bool stopping_ = false;
-  int under_way_ = 0;  ///< Requests that have no final answer yet.
+  int in_flight_ = 0;  ///< Requests that have no final answer yet.
 };
 
 /// Answers with a typed failure. The answer says whether the request ran and when to come back.
--- a/birchlever/gateway/gateway_server.cpp
+++ b/birchlever/gateway/gateway_server.cpp
@@ -80,9 +80,9 @@
   request.keep_alive_ = message.keep_alive();
   request.message_ = std::move(message);
   request.received_at_ = context_->clock_.now();
-  ++context_->under_way_;
+  ++context_->in_flight_;
   co_await run_filters(0, request);
-  --context_->under_way_;
+  --context_->in_flight_;
   if (request.account_ != nullptr) {
     context_->usage_.note(request.account_->name_, request.final_status_);
   }
--- a/birchlever/gateway/turn_filter.cpp
+++ b/birchlever/gateway/turn_filter.cpp
@@ -61,7 +61,8 @@
                           request.message_.body()};
   auto input = request.message_.body();
   auto began = context_->clock_.now();
-  auto patient_until = request.received_at_ + stream_patience(request, context_->trust_.stream_hold_ms_);
+  auto patient_until =
+      request.received_at_ + stream_patience(request, context_->freshness_limits_.min_stream_hold_ms_);
   order.patience_ = std::max<milliseconds>(patient_until - began, 0);
   order.late_ = request.facts_.program_time_left_ && *request.facts_.program_time_left_ <= 0;
   auto granted = co_await context_->programs_->begin_turn(std::move(order), request.due_ - began);
--- a/birchlever/gateway/upstream_attempt.cpp
+++ b/birchlever/gateway/upstream_attempt.cpp
@@ -96,7 +96,7 @@
 
 auto upstream_offer::send() -> task<std::optional<offer_outcome>> {
   auto may_repeat = request_->route_->kind_ == route_kind::safe || request_->route_->resumable_;
-  auto most_idle = may_repeat ? any_age : context_->limits_.streaming_most_idle_;
+  auto most_idle = may_repeat ? any_age : context_->limits_.streaming_max_idle_ms_;
   auto left = request_->due_ - context_->clock_.now();
   auto address = target_->entry().address_;
   auto taken = co_await context_->upstream_connections_->take(address, most_idle, left);
--- a/birchlever/gateway/upstream_dispatch.cpp
+++ b/birchlever/gateway/upstream_dispatch.cpp
@@ -55,18 +55,18 @@
   wish.parts_ = request.facts_.parts_;
   wish.program_ = request.facts_.program_;
   wish.last_upstream_ = request.last_upstream_;
-  if (context_->home_upstreams_ && !request.route_->keeps_turns_) {
+  if (context_->program_affinity_ && !request.route_->keeps_turns_) {
     wish.home_subject_ = request.facts_.program_;
   }
   wish.seed_ = hash_of(request.facts_.request_id_);
   const auto* service = request.configuration_->find_service(request.service_);
   if (service != nullptr && service->max_connections_ > 0) {
     // All daemons together may have so many connections to an upstream, which resets any more.
-    auto share = service->max_connections_ / std::max<std::int64_t>(context_->daemons_, 1);
+    auto share = service->max_connections_ / std::max<std::int64_t>(context_->daemon_count_, 1);
     wish.most_here_ = static_cast<int>(std::max<std::int64_t>(share, least_share));
   }
   if (service != nullptr) {
-    wish.cold_start_ = {service->cold_per_s_, context_->daemons_, service->cold_start_};
+    wish.cold_start_ = {service->cold_per_s_, context_->daemon_count_, service->cold_start_};
   }
   wish.regions_.add(request.route_->allowed_regions_);
   if (request.account_ != nullptr) {
--- a/birchlever_daemon/gateway_daemon.cpp
+++ b/birchlever_daemon/gateway_daemon.cpp
@@ -100,7 +100,7 @@
   context_->upstream_connections_ = connection_pool::create(loop_, {});
   context_->upstreams_ = std::make_shared<upstream_directory>(directory_settings);
   context_->upstreams_->on_connected([this](const asio::ip::tcp::endpoint& address) {
-    return context_->upstream_connections_->has_idle(address, context_->limits_.streaming_most_idle_);
+    return context_->upstream_connections_->has_idle(address, context_->limits_.streaming_max_idle_ms_);
   });
   context_->programs_ = value(programs);
   watch_freshness();
@@ -108,7 +108,7 @@
   context_->metrics_ = std::make_shared<metrics>();
   context_->engine_policy_ = engine_policy_name;
   context_->service_policy_ = service_policy_name;
-  context_->home_upstreams_ = settings_.home_upstreams_ != 0;
+  context_->program_affinity_ = settings_.home_upstreams_ != 0;
   auto loaded = load_policies();
   if (!ok(loaded)) {
     return loaded;
@@ -189,7 +189,7 @@
   };
   events.scan_ended_ = [take_all, scanned](std::int64_t /*version*/) { take_all(*scanned, true); };
   events.changes_ = [take_all](const auto& rows) { take_all(rows, false); };
-  events.answered_ = [this](milliseconds began_at) { context_->freshness_->note_look(began_at); };
+  events.answered_ = [this](milliseconds began_at) { context_->freshness_->record_poll(began_at); };
   configuration_follower_ = table_follower::create(loop_, store_, settings, std::move(events));
   upstream_follower_ = upstream_follower::create(
       loop_, store_, platform::names::upstream_table, context_->upstreams_, platform::decode_upstream,
@@ -197,17 +197,18 @@
 }
 
 auto gateway_daemon::watch_freshness() -> void {
-  auto& trust = context_->trust_;
-  trust.known_key_ms_ = settings_.revoke_ms_ - settings_.revoke_ms_ / trust_margin;
-  trust.unknown_key_ms_ = settings_.configuration_apply_ms_;
-  trust.stream_hold_ms_ = settings_.store_patience_ms_;
+  auto& trust = context_->freshness_limits_;
+  trust.known_key_max_age_ms_ = settings_.revoke_ms_ - settings_.revoke_ms_ / trust_margin;
+  trust.unknown_key_max_age_ms_ = settings_.configuration_apply_ms_;
+  trust.min_stream_hold_ms_ = settings_.store_patience_ms_;
   trust.retry_ms_ = settings_.store_retry_ms_;
   context_->freshness_ = std::make_shared<configuration_freshness>(loop_);
-  context_->freshness_->on_wanted([this] { start(loop_, "renew_configuration", renew_configuration()); });
+  context_->freshness_->on_first_waiter(
+      [this] { start(loop_, "renew_configuration", renew_configuration()); });
 }
 
 auto gateway_daemon::renew_configuration() -> task<> {
-  while (context_->freshness_->wanted()) {
+  while (context_->freshness_->has_waiters()) {
     auto answered = co_await configuration_follower_->look_now();
     if (!answered) {
       co_await pause_for(loop_, renewal_gap);
@@ -349,7 +350,7 @@
   auto began = context_->clock_.now();
   auto leave_at =
       began + static_cast<milliseconds>(settings_.stop_grace_s_ * ms_per_second) - leave_margin_ms;
-  log_event(log_level::info, "stop", {{"under_way", std::int64_t{context_->under_way_}}});
+  log_event(log_level::info, "stop", {{"under_way", std::int64_t{context_->in_flight_}}});
   context_->stopping_ = true;
   // The balancer goes on sending connections until it has looked twice; they are served.
   if (allowances_) {
@@ -358,12 +359,12 @@
   auto quiet_at = std::min(began + balancer_looks_ms, leave_at);
   co_await pause_for(loop_, quiet_at - began);
   server_->stop_accepting();
-  while ((context_->under_way_ > 0 || server_->connections() > 0) && context_->clock_.now() < leave_at) {
+  while ((context_->in_flight_ > 0 || server_->connections() > 0) && context_->clock_.now() < leave_at) {
     co_await pause_for(loop_, finish_check_gap);
   }
-  finished_all_ = context_->under_way_ == 0;
+  finished_all_ = context_->in_flight_ == 0;
   log_event(log_level::info, "stopped",
-            {{"under_way", std::int64_t{context_->under_way_}}, {"took_ms", context_->clock_.now() - began}});
+            {{"under_way", std::int64_t{context_->in_flight_}}, {"took_ms", context_->clock_.now() - began}});
   loop_.stop();
 }
 
--- a/birchlever_daemon/gateway_daemon_pages.cpp
+++ b/birchlever_daemon/gateway_daemon_pages.cpp
@@ -57,7 +57,7 @@
 
 auto gateway_daemon::metrics_page() -> http_response {
   auto& counters = *context_->metrics_;
-  counters.gauge("requests_under_way", context_->under_way_);
+  counters.gauge("requests_under_way", context_->in_flight_);
   counters.gauge("caller_connections", static_cast<double>(server_->connections()));
   const auto& usage = store_->usage();
   counters.gauge("store_calls", static_cast<double>(usage.calls()));
@@ -79,7 +79,7 @@
                  static_cast<double>(context_->upstream_connections_->opened()));
   counters.gauge("configuration_version",
                  context_->configuration_ ? static_cast<double>(context_->configuration_->version_) : 0);
-  auto sure_at = context_->freshness_->sure_at();
+  auto sure_at = context_->freshness_->verified_at();
   counters.gauge("configuration_age_ms",
                  sure_at ? static_cast<double>(context_->clock_.now() - *sure_at) : never_known);
   counters.gauge("allotments_without_grantor", grants_ ? static_cast<double>(grants_->unanswered()) : 0);
@@ -103,7 +103,7 @@
              {"throttled", usage.throttled_},
              {"failed", usage.failed_},
              {"history_cache_bytes", static_cast<std::int64_t>(context_->programs_->cached_bytes())},
-             {"under_way", std::int64_t{context_->under_way_}}});
+             {"under_way", std::int64_t{context_->in_flight_}}});
 }
 
 }  // namespace birchlever
--- a/birchlever_daemon/gateway_daemon_peers.cpp
+++ b/birchlever_daemon/gateway_daemon_peers.cpp
@@ -61,7 +61,7 @@
     return kept;
   }
   store_->set_relay([this] { return relay_through(); });
-  context_->daemons_ = unknown_fleet;
+  context_->daemon_count_ = unknown_fleet;
   start(loop_, "follow_peers", follow_peers());
   return success;
 }
@@ -72,7 +72,7 @@
     return success;
   }
   if (settings_.allotments_ == "equal" || !peers_) {  // Without peers this daemon's share is the whole.
-    auto count = [this] { return context_->daemons_; };
+    auto count = [this] { return context_->daemon_count_; };
     context_->allotments_ =
         std::make_shared<equal_shares>(equal_shares_settings{}, count, std::make_shared<steady_clock>());
     return success;
@@ -176,9 +176,9 @@
   while (true) {
     co_await pause_for(loop_, peer_look_gap);
     context_->upstreams_->find_stalled();
-    context_->daemons_ =
+    context_->daemon_count_ =
         peers_->list_known() ? static_cast<std::int64_t>(peers_->listed_peers()) + 1 : unknown_fleet;
-    store_->set_fleet(settings_.store_writes_per_s_, context_->daemons_);
+    store_->set_fleet(settings_.store_writes_per_s_, context_->daemon_count_);
     context_->upstreams_->set_running_elsewhere(peers_->views().running_elsewhere());
   }
 }
--- a/unit_tests/gateway/account_test.cpp
+++ b/unit_tests/gateway/account_test.cpp
@@ -30,13 +30,13 @@
     look();
   }
 
-  auto look() -> void { fixture_.context_->freshness_->note_look(fixture_.context_->clock_.now()); }
+  auto look() -> void { fixture_.context_->freshness_->record_poll(fixture_.context_->clock_.now()); }
 
   /// From now on knowledge of this age at most honours or refuses keys.
   auto trust_for(milliseconds bound) -> void {
-    fixture_.context_->trust_.known_key_ms_ = bound;
-    fixture_.context_->trust_.unknown_key_ms_ = bound;
-    fixture_.context_->trust_.stream_hold_ms_ = 2 * bound;
+    fixture_.context_->freshness_limits_.known_key_max_age_ms_ = bound;
+    fixture_.context_->freshness_limits_.unknown_key_max_age_ms_ = bound;
+    fixture_.context_->freshness_limits_.min_stream_hold_ms_ = 2 * bound;
   }
 
   auto ask(const std::string& target, header_map headers = {}) -> seen_answer {
@@ -141,7 +141,7 @@
   gateway.trust_for(150);
   gateway.fixture_.run_for(200);
   auto asked_store = false;
-  gateway.fixture_.context_->freshness_->on_wanted([&] {
+  gateway.fixture_.context_->freshness_->on_first_waiter([&] {
     asked_store = true;
     auto renew = [](two_accounts& self) -> task<> {
       co_await pause_for(self.fixture_.loop_, 60);
@@ -175,8 +175,8 @@
   auto loop = event_loop{1};
   auto freshness = configuration_freshness{loop};
   CHECK(!freshness.covers(0));
-  freshness.note_look(500);
-  freshness.note_look(400);  // It began before, and was answered later.
+  freshness.record_poll(500);
+  freshness.record_poll(400);  // It began before, and was answered later.
   CHECK(freshness.covers(500));
   CHECK(!freshness.covers(501));
 }
