--- a/birchlever/gateway/gateway_request.h
+++ b/birchlever/gateway/gateway_request.h
@@ -27,7 +27,7 @@
   std::shared_ptr<server_connection> connection_;
   std::shared_ptr<const serving_configuration> configuration_;
   http_request message_;
-  request_facts facts_;
+  request_metadata facts_;
   const route* route_ = nullptr;             ///< Within configuration_.
   const client_account* account_ = nullptr;  ///< Likewise; none on public routes and where there are none.
   std::string service_;
--- a/birchlever/gateway/request_dialect.h
+++ b/birchlever/gateway/request_dialect.h
@@ -13,7 +13,7 @@
 namespace birchlever {
 
 /// What a caller says of a request beside method, path and body.
-struct request_facts {
+struct request_metadata {
   std::string request_id_;
   std::optional<milliseconds> time_left_;  ///< How long the caller waits.
   std::string program_;                    ///< Empty for a request outside programs.
@@ -25,12 +25,12 @@
   std::string key_digest_;  ///< SHA-256 of the caller's key, in hexadecimal; empty without one.
   std::string model_;
   std::int64_t prompt_tokens_ = 0;
-  std::int64_t most_tokens_ = 0;  ///< The most that is generated.
+  std::int64_t max_tokens_ = 0;  ///< The most that is generated.
   std::vector<prompt_part> parts_;
 };
 
 /// What an upstream is told with a request.
-struct upstream_marks {
+struct upstream_headers {
   milliseconds time_left_ = 0;
   std::string expected_upstream_;           ///< Another server at the same address must refuse.
   std::optional<std::int64_t> last_event_;  ///< The stream is to go on behind this event.
@@ -39,9 +39,9 @@
 };
 
 /// What an upstream's answer says beside its status.
-struct answer_facts {
-  bool surely_not_run_ = false;
-  bool proven_ = false;  ///< Carries the upstream's proof that the answer is its own.
+struct response_metadata {
+  bool not_executed_ = false;
+  bool has_signature_ = false;  ///< Carries the upstream's proof that the answer is its own.
   std::string request_id_;
 };
 
@@ -51,16 +51,16 @@
   virtual ~request_dialect() = default;
 
   /// Reads a caller's headers. Failures: malformed_request, naming the header.
-  [[nodiscard]] virtual auto read(const http_request& request) const -> result<request_facts> = 0;
+  [[nodiscard]] virtual auto read_request(const http_request& request) const -> result<request_metadata> = 0;
 
   /// Removes what only the system may set, then sets it.
-  virtual auto mark(http_request& request, const upstream_marks& marks) const -> void = 0;
+  virtual auto set_upstream_headers(http_request& request, const upstream_headers& marks) const -> void = 0;
 
   /// Reads an upstream's headers.
-  [[nodiscard]] virtual auto read_answer(const http_response& answer) const -> answer_facts = 0;
+  [[nodiscard]] virtual auto read_response(const http_response& answer) const -> response_metadata = 0;
 
   /// Removes from an answer what is meant for us only.
-  virtual auto strip_answer(http_response& answer) const -> void = 0;
+  virtual auto strip_response(http_response& answer) const -> void = 0;
 };
 
 }  // namespace birchlever
--- a/birchlever/gateway/route_filter.cpp
+++ b/birchlever/gateway/route_filter.cpp
@@ -33,7 +33,7 @@
     co_await refuse(*context_, request, reason);
     co_return;
   }
-  auto facts = context_->dialect_->read(request.message_);
+  auto facts = context_->dialect_->read_request(request.message_);
   if (ok(facts)) {
     request.facts_ = std::move(value(facts));
   }
--- a/birchlever/gateway/turn_filter.cpp
+++ b/birchlever/gateway/turn_filter.cpp
@@ -13,7 +13,7 @@
   const auto* service = request.configuration_->find_service(request.service_);
   auto known = service != nullptr && service->engine_;
   auto tokens = request.relayed_.events_ * (known ? service->engine_->tokens_per_event_ : 1);
-  return std::min(tokens, std::max<std::int64_t>(request.facts_.most_tokens_, 0));
+  return std::min(tokens, std::max<std::int64_t>(request.facts_.max_tokens_, 0));
 }
 
 /// A turn outside a program stands alone under its own id.
@@ -39,7 +39,7 @@
   ended.turn_ = request.facts_.request_id_;
   ended.reservation_ = request.reservation_;
   ended.tokens_ = tokens_of(request);
-  ended.most_tokens_ = request.facts_.most_tokens_;
+  ended.most_tokens_ = request.facts_.max_tokens_;
   ended.budget_ = request.facts_.budget_;
   ended.longest_turn_ = longest_turn(*request.configuration_);
   return ended;
@@ -57,7 +57,7 @@
                           request.facts_.request_id_,
                           request.facts_.previous_turn_,
                           request.facts_.budget_,
-                          request.facts_.most_tokens_,
+                          request.facts_.max_tokens_,
                           request.message_.body()};
   auto input = request.message_.body();
   auto began = context_->clock_.now();
@@ -95,7 +95,7 @@
     co_return;
   }
   auto program = program_of(request);
-  auto most = request.facts_.most_tokens_;
+  auto most = request.facts_.max_tokens_;
   auto order = turn_order{program, request.facts_.request_id_, "", request.facts_.budget_, most, ""};
   auto began = context_->clock_.now();
   auto drawn = co_await context_->programs_->draw_budget(std::move(order), request.due_ - began);
--- a/birchlever/gateway/upstream_attempt.cpp
+++ b/birchlever/gateway/upstream_attempt.cpp
@@ -49,14 +49,14 @@
 auto upstream_offer::message() const -> std::shared_ptr<const http_request> {
   auto copy = std::make_shared<http_request>(request_->message_);
   remove_hop_by_hop(*copy);
-  auto marks = upstream_marks{};
+  auto marks = upstream_headers{};
   marks.time_left_ =
       std::max<milliseconds>(request_->due_ - context_->clock_.now() - context_->limits_.safety_ms_, 1);
   marks.expected_upstream_ = target_->entry().id_;
   marks.urgency_ = urgency_of(*request_);
   marks.account_ = request_->account_name();
   marks.last_event_ = request_->relayed_.last_event_;
-  context_->dialect_->mark(*copy, marks);
+  context_->dialect_->set_upstream_headers(*copy, marks);
   copy->version(11);
   copy->erase(http::field::expect);
   auto had_length = request_->message_.has_content_length() || request_->message_.chunked();
@@ -123,8 +123,8 @@
   }
   context_->upstreams_->answered(*target_, sent_at_);
   auto& head = std::get<http_response>(read);
-  auto facts = context_->dialect_->read_answer(head);
-  if (facts.surely_not_run_) {
+  auto facts = context_->dialect_->read_response(head);
+  if (facts.not_executed_) {
     auto rest = co_await connection_->read_rest(most_refusal_bytes);
     if (std::holds_alternative<exchange_fault>(rest)) {
       connection_->abort();
@@ -135,14 +135,14 @@
     co_return full ? offer_outcome::refused_full : offer_outcome::refused;
   }
   auto ours = facts.request_id_ == request_->facts_.request_id_;
-  auto believable = is_success(head) ? facts.proven_ : !promises_not_run(head.result_int());
+  auto believable = is_success(head) ? facts.has_signature_ : !promises_not_run(head.result_int());
   if (!ours || !believable) {
     log_event(log_level::warning, "answer_not_ours",
               {{"request", request_->facts_.request_id_},
                {"upstream", target_->entry().id_},
                {"status", std::int64_t{head.result_int()}},
                {"answers", facts.request_id_},
-               {"proven", facts.proven_}});
+               {"proven", facts.has_signature_}});
     connection_->abort();
     co_return offer_outcome::unknown;
   }
@@ -169,7 +169,7 @@
     co_return judge(*fault);
   }
   remove_hop_by_hop(head);
-  context_->dialect_->strip_answer(head);
+  context_->dialect_->strip_response(head);
   head.version(11);
   head.body() = std::move(std::get<std::string>(rest));
   if (request_->message_.method() != http::verb::head && !has_no_body(head)) {
@@ -205,7 +205,7 @@
 
 auto upstream_offer::beyond_grant() const -> bool {
   const auto& granted = request_->granted_tokens_;
-  if (!granted || *granted >= request_->facts_.most_tokens_) {
+  if (!granted || *granted >= request_->facts_.max_tokens_) {
     return false;  // The engine itself ends at the most.
   }
   const auto* service = request_->configuration_->find_service(request_->service_);
@@ -232,7 +232,7 @@
     co_return true;  // The stream goes on: it keeps the head and the proof of its first upstream.
   }
   remove_hop_by_hop(head);
-  context_->dialect_->strip_answer(head);
+  context_->dialect_->strip_response(head);
   head.version(11);
   head.erase(http::field::content_length);
   head.keep_alive(request_->keep_alive_ && !context_->stopping_);
--- a/birchlever/gateway/upstream_dispatch.cpp
+++ b/birchlever/gateway/upstream_dispatch.cpp
@@ -51,7 +51,7 @@
   wish.service_ = request.service_;
   wish.model_ = request.facts_.model_;
   wish.prompt_tokens_ = request.facts_.prompt_tokens_;
-  wish.most_tokens_ = request.facts_.most_tokens_;
+  wish.most_tokens_ = request.facts_.max_tokens_;
   wish.parts_ = request.facts_.parts_;
   wish.program_ = request.facts_.program_;
   wish.last_upstream_ = request.last_upstream_;
--- a/unit_tests/platform/decode_test.cpp
+++ b/unit_tests/platform/decode_test.cpp
@@ -212,13 +212,13 @@
   auto request = http_request{http::verb::post, "/a/x", 11};
   request.set("X-Request-Id", "r1");
   request.set("Last-Event-Id", "12");
-  CHECK(value(dialect.read(request)).last_event_ == 12);
-  auto marks = upstream_marks{};
+  CHECK(value(dialect.read_request(request)).last_event_ == 12);
+  auto marks = upstream_headers{};
   marks.last_event_ = 14;
-  dialect.mark(request, marks);
+  dialect.set_upstream_headers(request, marks);
   CHECK(field_of(request, "Last-Event-Id") == "14");
   request.set("Last-Event-Id", "twelve");
-  CHECK_FALSE(ok(dialect.read(request)));
+  CHECK_FALSE(ok(dialect.read_request(request)));
 }
 
 TEST_CASE("headers of a turn are read, unreadable ones named") {
@@ -228,10 +228,10 @@
   request.set("X-Token-Usage", "1840,136");
   request.set("X-Prefix-Hash", "5c1e07a2:800,91bd3f06:410");
   request.set("X-Token-Budget", "1088");
-  auto facts = dialect.read(request);
+  auto facts = dialect.read_request(request);
   REQUIRE(ok(facts));
   REQUIRE(value(facts).prompt_tokens_ == 1840);
-  REQUIRE(value(facts).most_tokens_ == 136);
+  REQUIRE(value(facts).max_tokens_ == 136);
   REQUIRE(value(facts).parts_.size() == 2);
   REQUIRE(value(facts).parts_[0].id_ == 0x5c1e07a2);
   REQUIRE(value(facts).budget_ == 1088);
@@ -243,7 +243,7 @@
                                                         {"X-Deadline-Ms", "soon"}}) {
     auto broken = request;
     broken.set(name, content);
-    auto read = dialect.read(broken);
+    auto read = dialect.read_request(broken);
     REQUIRE_FALSE(ok(read));
     REQUIRE(failure(read).code_ == error_code::malformed_request);
     REQUIRE(failure(read).detail_.find(name) != std::string::npos);
