--- a/birchlever/filters/caller_routes.cpp
+++ b/birchlever/filters/caller_routes.cpp
@@ -1,4 +1,4 @@
-/// The routes about programs and for operators.
+/// Routes for programs, operators and test control.
 #include <nlohmann/json.hpp>
 
 #include "birchlever/controllers/daemon_context.h"
@@ -16,7 +16,7 @@
 
 constexpr auto ms_per_second = std::int64_t{1000};
 
-auto answer_text(httplib::Response& response, const result<std::string>& text) -> void {
+auto write_result(httplib::Response& response, const result<std::string>& text) -> void {
   if (!ok(text)) {
     answer_error(response, failure(text));
     return;
@@ -48,11 +48,11 @@
   response.set_content(to_json_text(failure), json_type);
 }
 
-auto caller_server::state::account_of(const httplib::Request& request) const -> result<std::string> {
+auto caller_server::state::authenticate(const httplib::Request& request) const -> result<std::string> {
   auto context = request_context{};
   context.headers_["authorization"] = request.get_header_value("Authorization");
   auto filter = authenticate_filter{context_};
-  if (filter.apply(context) == filter_verdict::answered) {
+  if (filter.apply(context) == filter_result::answered) {
     return *context.failure_;
   }
   return context.open_.order_.account_;
@@ -61,53 +61,53 @@
 auto caller_server::state::is_operator(const httplib::Request& request) const -> bool {
   auto key = bearer_key(request.get_header_value("Authorization"));
   auto known = false;
-  for (const auto& one : split_list(context_->settings_.operator_keys_)) {
-    known = (!key.empty() && equal_secrets(one, key)) || known;
+  for (const auto& operator_key : split_list(context_->settings_.operator_keys_)) {
+    known = (!key.empty() && equal_secrets(operator_key, key)) || known;
   }
   return known;
 }
 
-auto caller_server::state::program_routes() -> void {
+auto caller_server::state::register_program_routes() -> void {
   server_.Post("/v1/programs", [this](const httplib::Request& request, httplib::Response& response) {
-    auto account = account_of(request);
+    auto account = authenticate(request);
     auto body = json::parse(request.body, nullptr, false);
     if (!ok(account)) {
       answer_error(response, failure(account));
       return;
     }
-    auto shaped = body.is_object() && (!body.contains("budget") || body["budget"].is_number_integer()) &&
-                  (!body.contains("program") || body["program"].is_string());
-    if (!shaped) {
-      answer_error(response, {error_code::wrong_type, "program must be a string and budget a whole number"});
+    auto valid = body.is_object() && (!body.contains("budget") || body["budget"].is_number_integer()) &&
+                 (!body.contains("program") || body["program"].is_string());
+    if (!valid) {
+      answer_error(response, {error_code::wrong_type, "program must be a string and budget an integer"});
       return;
     }
     auto program = body.value("program", random_id());
-    answer_text(response,
-                gateway_->create_program({value(account), program, body.value("budget", std::int64_t{0})}));
+    write_result(response,
+                 gateway_->create_program({value(account), program, body.value("budget", std::int64_t{0})}));
   });
   server_.Delete("/v1/programs/([^/]+)",
                  [this](const httplib::Request& request, httplib::Response& response) {
-                   auto account = account_of(request);
+                   auto account = authenticate(request);
                    if (!ok(account)) {
                      answer_error(response, failure(account));
                      return;
                    }
-                   answer_text(response, gateway_->end_program({value(account), request.matches[1], 0}));
+                   write_result(response, gateway_->end_program({value(account), request.matches[1], 0}));
                  });
   server_.Get("/v1/programs/([^/]+)", [this](const httplib::Request& request, httplib::Response& response) {
-    auto account = account_of(request);
+    auto account = authenticate(request);
     if (!ok(account)) {
       answer_error(response, failure(account));
       return;
     }
-    answer_text(response, gateway_->history({value(account), request.matches[1], 0}));
+    write_result(response, gateway_->history({value(account), request.matches[1], 0}));
   });
 }
 
-auto caller_server::state::operator_routes() -> void {
+auto caller_server::state::register_operator_routes() -> void {
   server_.Post("/v1/operate", [this](const httplib::Request& request, httplib::Response& response) {
     if (!is_operator(request)) {
-      answer_error(response, {error_code::unauthenticated, "the request carries no key of an operator"});
+      answer_error(response, {error_code::unauthenticated, "missing or unknown operator key"});
       return;
     }
     auto answer = operate_(request.body);
@@ -119,7 +119,7 @@
   });
   server_.Get("/traces", [this](const httplib::Request& request, httplib::Response& response) {
     if (!is_operator(request)) {
-      answer_error(response, {error_code::unauthenticated, "traces are for operators"});
+      answer_error(response, {error_code::unauthenticated, "traces require an operator key"});
       return;
     }
     response.set_content(context_->traces_->to_zipkin(), json_type);
@@ -130,7 +130,8 @@
   server_.Post("/test/link", [this](const httplib::Request& request, httplib::Response& response) {
     auto body = json::parse(request.body, nullptr, false);
     if (!is_operator(request) || !body.is_object()) {
-      answer_error(response, {error_code::forbidden, "test controls need an operator's key"});
+      answer_error(response,
+                   {error_code::forbidden, "test controls require an operator key and a JSON object"});
       return;
     }
     test_switches::instance().set_link(body.value("target", ""), parse_link_state(body.value("state", "")));
--- a/birchlever/filters/caller_server.cpp
+++ b/birchlever/filters/caller_server.cpp
@@ -28,7 +28,7 @@
 using nlohmann::json;
 
 constexpr auto event_type = "text/event-stream";
-constexpr auto keep_alive_requests = std::size_t{100000};
+constexpr auto max_keep_alive_requests = std::size_t{100000};
 
 auto make_context(const httplib::Request& request) -> std::shared_ptr<request_context> {
   auto context = std::make_shared<request_context>();
@@ -60,12 +60,13 @@
 
 namespace {
 
-/// Lets the shared dispatcher stand in the chain.
-class dispatch_step final : public request_filter {
+/// Adapts the shared dispatcher to the ownership of filter_chain.
+class dispatch_adapter final : public request_filter {
  public:
-  explicit dispatch_step(std::shared_ptr<dispatch_filter> dispatcher) : dispatcher_{std::move(dispatcher)} {}
+  explicit dispatch_adapter(std::shared_ptr<dispatch_filter> dispatcher)
+      : dispatcher_{std::move(dispatcher)} {}
 
-  auto apply(request_context& context) -> filter_verdict override { return dispatcher_->apply(context); }
+  auto apply(request_context& context) -> filter_result override { return dispatcher_->apply(context); }
 
  private:
   std::shared_ptr<dispatch_filter> dispatcher_;
@@ -79,28 +80,29 @@
   filters.push_back(std::make_unique<parse_filter>(context_->settings_));
   filters.push_back(std::make_unique<authenticate_filter>(context_));
   filters.push_back(std::make_unique<admission_filter>(context_));
-  filters.push_back(std::make_unique<dispatch_step>(dispatcher_));
+  filters.push_back(std::make_unique<dispatch_adapter>(dispatcher_));
   chain_ = std::make_unique<filter_chain>(std::move(filters));
 }
 
-auto caller_server::state::failed(httplib::Response& response, const request_context& context) -> void {
-  auto reason = context.truthful(*context.failure_);
+auto caller_server::state::write_failure(httplib::Response& response, const request_context& context)
+    -> void {
+  auto reason = context.with_accurate_run_state(*context.failure_);
   context_->metrics_->count("refusals_total{type=\"" + std::string{name_of(reason.code_)} + "\"}");
   set_call_headers(response, context);
   answer_error(response, reason);
 }
 
-auto caller_server::state::chat(const httplib::Request& request, httplib::Response& response) -> void {
-  auto began = context_->clock_->now();
+auto caller_server::state::handle_chat(const httplib::Request& request, httplib::Response& response) -> void {
+  auto started_at = context_->clock_->now();
   auto context = make_context(request);
   auto span = scoped_span{*context_->traces_, context->trace_, "entry.call"};
   context->trace_ = span.context();
-  auto verdict = chain_->run(*context);
-  if (verdict == filter_verdict::answered && context->failure_) {
-    failed(response, *context);
+  auto outcome = chain_->run(*context);
+  if (outcome == filter_result::answered && context->failure_) {
+    write_failure(response, *context);
     return;
   }
-  context_->metrics_->observe("call_start_ms", static_cast<double>(context_->clock_->now() - began));
+  context_->metrics_->observe("call_start_ms", static_cast<double>(context_->clock_->now() - started_at));
   set_call_headers(response, *context);
   if (context->replay_) {
     auto text = context->stream_ ? chat_answer::replay_as_events(*context->replay_) : *context->replay_;
@@ -108,11 +110,11 @@
     return;
   }
   if (context->stream_) {
-    stream(response, std::move(context));
+    stream_response(response, std::move(context));
     return;
   }
-  auto answer = chat_answer{context_, *dispatcher_, context}.whole();
-  context_->metrics_->observe("call_ms", static_cast<double>(context_->clock_->now() - began));
+  auto answer = chat_answer{context_, *dispatcher_, context}.complete_response();
+  context_->metrics_->observe("call_ms", static_cast<double>(context_->clock_->now() - started_at));
   if (ok(answer)) {
     response.set_content(value(answer), json_type);
   } else {
@@ -120,8 +122,8 @@
   }
 }
 
-auto caller_server::state::stream(httplib::Response& response, std::shared_ptr<request_context> context)
-    -> void {
+auto caller_server::state::stream_response(httplib::Response& response,
+                                           std::shared_ptr<request_context> context) -> void {
   auto answer = std::make_shared<chat_answer>(context_, *dispatcher_, std::move(context));
   response.set_header("Cache-Control", "no-cache");
   response.set_chunked_content_provider(event_type, [answer](std::size_t, httplib::DataSink& sink) {
@@ -129,27 +131,28 @@
     for (auto bytes = answer->next(); bytes; bytes = answer->next()) {
       reachable = reachable && sink.is_writable() && sink.write(bytes->data(), bytes->size());
     }
-    sink.done();  // A caller that left early finds the recorded answer when it asks again.
+    sink.done();  // The answer is recorded even if the caller disconnected; a retry returns it.
     return reachable;
   });
 }
 
-auto caller_server::state::service(const httplib::Request& request, httplib::Response& response) -> void {
+auto caller_server::state::handle_service(const httplib::Request& request, httplib::Response& response)
+    -> void {
   auto context = make_context(request);
   auto span = scoped_span{*context_->traces_, context->trace_, "entry.service"};
   context->trace_ = span.context();
   context->open_.service_ = request.matches[1];
   context->service_path_ = request.matches[2];
-  auto verdict = chain_->run(*context);
-  if (verdict == filter_verdict::answered && context->failure_) {
-    failed(response, *context);
+  auto outcome = chain_->run(*context);
+  if (outcome == filter_result::answered && context->failure_) {
+    write_failure(response, *context);
     return;
   }
   set_call_headers(response, *context);
   auto recorded = context->replay_;
   if (!recorded) {
-    auto patience = std::max<milliseconds>(1, context->deadline_at_ - context_->clock_->now());
-    auto bytes = context->exchange_->read_all(std::min(patience, context_->settings_.upstream_wait_ms_));
+    auto remaining = std::max<milliseconds>(1, context->deadline_at_ - context_->clock_->now());
+    auto bytes = context->exchange_->read_all(std::min(remaining, context_->settings_.upstream_wait_ms_));
     if (!ok(bytes)) {
       dispatcher_->settle_later(*context, call_outcome::failed);
       auto code =
@@ -170,22 +173,23 @@
   }
   auto body = json::parse(*recorded, nullptr, false);
   if (!body.is_object() || !body.contains("body")) {
-    response.set_content(*recorded, json_type);  // As the service told it when asked for the outcome.
+    response.set_content(*recorded, json_type);  // The outcome that the service reported when queried for it.
     return;
   }
   response.status = body.value("status", 200);
   response.set_content(body.value("body", ""), body.value("type", json_type).c_str());
 }
 
-auto caller_server::state::routes() -> void {
+auto caller_server::state::register_routes() -> void {
   server_.Post("/v1/chat/completions", [this](const httplib::Request& request, httplib::Response& response) {
-    chat(request, response);
+    handle_chat(request, response);
   });
-  server_.Post(
-      "/v1/services/([^/]+)/(.*)",
-      [this](const httplib::Request& request, httplib::Response& response) { service(request, response); });
-  program_routes();
-  operator_routes();
+  server_.Post("/v1/services/([^/]+)/(.*)",
+               [this](const httplib::Request& request, httplib::Response& response) {
+                 handle_service(request, response);
+               });
+  register_program_routes();
+  register_operator_routes();
   server_.Get("/healthz", [](const httplib::Request&, httplib::Response& response) {
     response.set_content("{\"alive\":true}", json_type);
   });
@@ -202,28 +206,28 @@
     if (!response.body.empty()) {
       return;
     }
-    auto too_long = response.status == 413;
-    auto failure =
-        too_long ? error{error_code::body_too_large, "the body is too long"}
-                 : error{error_code::unknown_route, "there is no " + request.method + " " + request.path};
+    auto body_too_long = response.status == 413;
+    auto failure = body_too_long ? error{error_code::body_too_large, "request body too long"}
+                                 : error{error_code::unknown_route,
+                                         "no route for " + request.method + " " + request.path};
     answer_error(response, failure);
   });
   server_.set_exception_handler(
-      [](const httplib::Request&, httplib::Response& response, std::exception_ptr fault) {
-        auto detail = std::string{"unexpected failure"};
+      [](const httplib::Request&, httplib::Response& response, std::exception_ptr exception) {
+        auto detail = std::string{"unhandled exception"};
         try {
-          std::rethrow_exception(std::move(fault));
-        } catch (const std::exception& known) {
-          detail = known.what();
+          std::rethrow_exception(std::move(exception));
+        } catch (const std::exception& caught) {
+          detail = caught.what();
         } catch (...) {
-          detail = "failure of an unknown kind";
+          detail = "unhandled exception of unknown type";
         }
         log_event(log_level::error, "request_failed", {{"detail", detail}});
         answer_error(response, {error_code::internal, detail, ran_state::outcome_unknown});
       });
 }
 
-caller_server::caller_server(std::unique_ptr<state> made) : state_{std::move(made)} {}
+caller_server::caller_server(std::unique_ptr<state> initial) : state_{std::move(initial)} {}
 
 caller_server::~caller_server() {
   stop();
@@ -231,25 +235,26 @@
 
 auto caller_server::create(std::shared_ptr<daemon_context> context, std::shared_ptr<owner_gateway> gateway,
                            operate_handler operate) -> result<std::unique_ptr<caller_server>> {
-  auto made = std::make_unique<state>();
-  made->context_ = std::move(context);
-  made->gateway_ = std::move(gateway);
-  made->operate_ = std::move(operate);
-  made->make_filters();
-  made->routes();
-  const auto& settings = made->context_->settings_;
+  auto server_state = std::make_unique<state>();
+  server_state->context_ = std::move(context);
+  server_state->gateway_ = std::move(gateway);
+  server_state->operate_ = std::move(operate);
+  server_state->make_filters();
+  server_state->register_routes();
+  const auto& settings = server_state->context_->settings_;
   auto threads = static_cast<std::size_t>(settings.http_threads_);
-  made->server_.new_task_queue = [threads] { return new httplib::ThreadPool(threads); };
-  made->server_.set_payload_max_length(static_cast<std::size_t>(settings.max_body_bytes_) + 1);
-  made->server_.set_keep_alive_max_count(keep_alive_requests);
-  made->server_.set_tcp_nodelay(true);
-  made->server_.set_write_timeout(std::chrono::milliseconds{settings.upstream_wait_ms_});
-  if (!made->server_.bind_to_port(settings.listen_address_.c_str(), static_cast<int>(settings.http_port_))) {
+  server_state->server_.new_task_queue = [threads] { return new httplib::ThreadPool(threads); };
+  server_state->server_.set_payload_max_length(static_cast<std::size_t>(settings.max_body_bytes_) + 1);
+  server_state->server_.set_keep_alive_max_count(max_keep_alive_requests);
+  server_state->server_.set_tcp_nodelay(true);
+  server_state->server_.set_write_timeout(std::chrono::milliseconds{settings.upstream_wait_ms_});
+  if (!server_state->server_.bind_to_port(settings.listen_address_.c_str(),
+                                          static_cast<int>(settings.http_port_))) {
     return error{error_code::invalid_setting,
-                 "HTTP port " + std::to_string(settings.http_port_) + " cannot be used"};
+                 "HTTP port " + std::to_string(settings.http_port_) + " cannot be bound"};
   }
-  made->thread_ = std::thread{[server = &made->server_] { server->listen_after_bind(); }};
-  return std::unique_ptr<caller_server>{new caller_server{std::move(made)}};
+  server_state->thread_ = std::thread{[server = &server_state->server_] { server->listen_after_bind(); }};
+  return std::unique_ptr<caller_server>{new caller_server{std::move(server_state)}};
 }
 
 auto caller_server::stop() -> void {
--- a/birchlever/filters/caller_server.h
+++ b/birchlever/filters/caller_server.h
@@ -1,4 +1,4 @@
-/// The HTTP port: callers, operators, health and metrics.
+/// The HTTP server for callers, operators, health checks and metrics.
 #pragma once
 
 #include <functional>
@@ -12,24 +12,24 @@
 struct daemon_context;
 class owner_gateway;
 
-/// Serves until stopped, on threads of its own.
+/// Serves on its own threads until stopped.
 class caller_server {
  public:
-  /// Runs an operator's statement on the whole fleet and gives the answer as JSON.
+  /// Executes an operator's statement on the whole fleet and returns the result as JSON.
   using operate_handler = std::function<result<std::string>(const std::string& statement)>;
 
-  /// Binds the HTTP port. Failures: invalid_setting when the port is taken.
+  /// Binds the HTTP port and starts serving. Failures: invalid_setting if the port cannot be bound.
   static auto create(std::shared_ptr<daemon_context> context, std::shared_ptr<owner_gateway> gateway,
                      operate_handler operate) -> result<std::unique_ptr<caller_server>>;
 
   ~caller_server();
 
-  /// Ends serving and waits for its threads; calls under way finish first.
+  /// Stops serving and joins the threads. Calls in flight finish first.
   auto stop() -> void;
 
  private:
   struct state;
-  explicit caller_server(std::unique_ptr<state> made);
+  explicit caller_server(std::unique_ptr<state> initial);
 
   std::unique_ptr<state> state_;
 };
--- a/birchlever/filters/caller_server_state.h
+++ b/birchlever/filters/caller_server_state.h
@@ -1,4 +1,4 @@
-/// What stands behind caller_server; for its own source files only.
+/// Private implementation of caller_server.
 #pragma once
 
 #include <httplib.h>
@@ -13,13 +13,13 @@
 
 namespace birchlever {
 
-/// Content type of answers that are not streams.
+/// Content type of responses that are not streamed.
 inline constexpr auto json_type = "application/json";
 
-/// Answers with a failure: its status, Retry-After and JSON body.
+/// Writes a failure as HTTP status, Retry-After header and JSON body.
 auto answer_error(httplib::Response& response, const error& failure) -> void;
 
-/// The server with its filters and routes.
+/// The HTTP server, its filters and its routes.
 struct caller_server::state {
   std::shared_ptr<daemon_context> context_;
   std::shared_ptr<owner_gateway> gateway_;
@@ -30,14 +30,14 @@
   std::thread thread_;
 
   auto make_filters() -> void;
-  auto routes() -> void;
-  auto program_routes() -> void;
-  auto operator_routes() -> void;
-  auto chat(const httplib::Request& request, httplib::Response& response) -> void;
-  auto service(const httplib::Request& request, httplib::Response& response) -> void;
-  auto stream(httplib::Response& response, std::shared_ptr<request_context> context) -> void;
-  auto failed(httplib::Response& response, const request_context& context) -> void;
-  [[nodiscard]] auto account_of(const httplib::Request& request) const -> result<std::string>;
+  auto register_routes() -> void;
+  auto register_program_routes() -> void;
+  auto register_operator_routes() -> void;
+  auto handle_chat(const httplib::Request& request, httplib::Response& response) -> void;
+  auto handle_service(const httplib::Request& request, httplib::Response& response) -> void;
+  auto stream_response(httplib::Response& response, std::shared_ptr<request_context> context) -> void;
+  auto write_failure(httplib::Response& response, const request_context& context) -> void;
+  [[nodiscard]] auto authenticate(const httplib::Request& request) const -> result<std::string>;
   [[nodiscard]] auto is_operator(const httplib::Request& request) const -> bool;
 };
 
--- a/birchlever/filters/chat_answer.cpp
+++ b/birchlever/filters/chat_answer.cpp
@@ -14,7 +14,7 @@
 using nlohmann::json;
 
 constexpr auto event_end = std::string_view{"\n\n"};
-constexpr auto data_mark = std::string_view{"data: "};
+constexpr auto data_prefix = std::string_view{"data: "};
 constexpr auto stream_end = std::string_view{"[DONE]"};
 
 auto dump(const json& body) -> std::string {
@@ -22,14 +22,14 @@
 }
 
 auto event_of(const json& body) -> std::string {
-  return std::string{data_mark} + dump(body) + std::string{event_end};
+  return std::string{data_prefix} + dump(body) + std::string{event_end};
 }
 
 auto done_event() -> std::string {
-  return std::string{data_mark} + std::string{stream_end} + std::string{event_end};
+  return std::string{data_prefix} + std::string{stream_end} + std::string{event_end};
 }
 
-/// The last events of a stream: finish reason, usage, and the end mark.
+/// Returns the last events of a stream: finish reason, usage and the end marker.
 auto final_events(const json& answer) -> std::string {
   const auto& choice = answer.at("choices").at(0);
   auto body = json{
@@ -47,12 +47,12 @@
                          std::shared_ptr<request_context> context)
     : daemon_{std::move(daemon)}, dispatcher_{dispatcher}, context_{std::move(context)} {}
 
-auto chat_answer::patience() const -> milliseconds {
+auto chat_answer::remaining_wait() const -> milliseconds {
   auto left = context_->deadline_at_ - daemon_->clock_->now();
   return std::clamp<milliseconds>(left, 1, daemon_->settings_.upstream_wait_ms_);
 }
 
-auto chat_answer::take_data(const std::string& data, const std::string& event) -> std::string {
+auto chat_answer::handle_data(const std::string& data, const std::string& event) -> std::string {
   if (data == stream_end) {
     return {};
   }
@@ -76,18 +76,18 @@
   }
   if (choice.contains("finish_reason") && choice["finish_reason"].is_string()) {
     finish_reason_ = choice["finish_reason"].get<std::string>();
-    final_seen_ = true;
+    finish_seen_ = true;
     return {};
   }
   return event;
 }
 
-auto chat_answer::take_event(const std::string& event) -> std::string {
-  if (event.compare(0, data_mark.size(), data_mark) != 0) {
+auto chat_answer::handle_event(const std::string& event) -> std::string {
+  if (event.compare(0, data_prefix.size(), data_prefix) != 0) {
     return {};
   }
-  auto data = event.substr(data_mark.size(), event.size() - data_mark.size() - event_end.size());
-  return take_data(data, event);
+  auto data = event.substr(data_prefix.size(), event.size() - data_prefix.size() - event_end.size());
+  return handle_data(data, event);
 }
 
 auto chat_answer::recorded_answer() const -> std::string {
@@ -120,13 +120,14 @@
   if (!ok(settled)) {
     return failure(settled);
   }
-  const auto& standing = value(settled).answer_;
-  answer_ = standing.empty() ? answer : standing;
+  const auto& recorded = value(settled).answer_;
+  answer_ = recorded.empty() ? answer : recorded;
   auto same_text =
-      standing.empty() || json::parse(standing).at("choices").at(0).at("message").at("content") == text_;
+      recorded.empty() || json::parse(recorded).at("choices").at(0).at("message").at("content") == text_;
   if (!same_text) {
     return error{error_code::call_mismatch,
-                 "another attempt of this call was recorded first; ask again for it", ran_state::ran, 1};
+                 "another attempt of this call was recorded first; retry to receive its answer",
+                 ran_state::ran, 1};
   }
   return final_events(json::parse(answer_));
 }
@@ -138,51 +139,52 @@
   if (!order.repeatable_) {
     stage_ = stage::ended;
     dispatcher_.settle_later(*context_, call_outcome::failed);
-    return error{error_code::outcome_unknown, reason.detail_ + "; the call may not be repeated",
+    return error{error_code::outcome_unknown, reason.detail_ + "; the call is not repeatable",
                  ran_state::outcome_unknown};
   }
   (void)dispatcher_.settle(*context_, call_outcome::failed, 0, 0, "");
   context_->open_.request_id_ += "+";
   buffer_.clear();
-  auto verdict = dispatcher_.send_again(*context_, text_);
-  if (verdict == filter_verdict::go_on) {
+  auto outcome = dispatcher_.resend(*context_, text_);
+  if (outcome == filter_result::proceed) {
     daemon_->metrics_->count("streams_resumed_total");
     return std::string{};
   }
   stage_ = stage::ended;
   if (context_->replay_) {
     answer_ = *context_->replay_;
-    auto whole_text = json::parse(answer_).at("choices").at(0).at("message").at("content").get<std::string>();
-    if (whole_text.compare(0, text_.size(), text_) == 0) {
+    auto recorded_text =
+        json::parse(answer_).at("choices").at(0).at("message").at("content").get<std::string>();
+    if (recorded_text.compare(0, text_.size(), text_) == 0) {
       auto rest =
           json{{"id", completion_id_},
                {"object", "chat.completion.chunk"},
-               {"choices", {{{"index", 0}, {"delta", {{"content", whole_text.substr(text_.size())}}}}}}};
+               {"choices", {{{"index", 0}, {"delta", {{"content", recorded_text.substr(text_.size())}}}}}}};
       return event_of(rest) + final_events(json::parse(answer_));
     }
   }
-  return context_->truthful(context_->failure_.value_or(reason));
+  return context_->with_accurate_run_state(context_->failure_.value_or(reason));
 }
 
 auto chat_answer::advance() -> result<std::string> {
-  auto piece = context_->exchange_->next(patience());
-  if (!ok(piece)) {
-    return resume(failure(piece));
+  auto chunk = context_->exchange_->next(remaining_wait());
+  if (!ok(chunk)) {
+    return resume(failure(chunk));
   }
-  buffer_ += value(piece).bytes_;
+  buffer_ += value(chunk).bytes_;
   auto forward = std::string{};
   auto end = buffer_.find(event_end);
   while (end != std::string::npos) {
-    forward += take_event(buffer_.substr(0, end + event_end.size()));
+    forward += handle_event(buffer_.substr(0, end + event_end.size()));
     buffer_.erase(0, end + event_end.size());
     end = buffer_.find(event_end);
   }
-  if (!value(piece).end_) {
+  if (!value(chunk).end_) {
     return forward;
   }
-  if (!final_seen_) {
-    return resume(
-        {error_code::upstream_failed, "the engine's answer ended early", ran_state::outcome_unknown});
+  if (!finish_seen_) {
+    return resume({error_code::upstream_failed, "engine response ended before its final event",
+                   ran_state::outcome_unknown});
   }
   auto last = finish();
   return ok(last) ? result<std::string>{forward + value(last)} : last;
@@ -193,7 +195,7 @@
     auto bytes = advance();
     if (!ok(bytes)) {
       stage_ = stage::ended;
-      return std::string{data_mark} + to_json_text(failure(bytes)) + std::string{event_end};
+      return std::string{data_prefix} + to_json_text(failure(bytes)) + std::string{event_end};
     }
     if (!value(bytes).empty()) {
       return value(bytes);
@@ -202,7 +204,7 @@
   return std::nullopt;
 }
 
-auto chat_answer::whole() -> result<std::string> {
+auto chat_answer::complete_response() -> result<std::string> {
   while (stage_ == stage::streaming) {
     auto bytes = advance();
     if (!ok(bytes)) {
@@ -217,7 +219,7 @@
 auto chat_answer::replay_as_events(const std::string& answer) -> std::string {
   auto body = json::parse(answer, nullptr, false);
   if (!body.is_object() || !body.contains("choices")) {
-    return std::string{data_mark} + answer + std::string{event_end} + done_event();
+    return std::string{data_prefix} + answer + std::string{event_end} + done_event();
   }
   auto text =
       json{{"id", body.at("id")},
--- a/birchlever/filters/dispatch_filter.cpp
+++ b/birchlever/filters/dispatch_filter.cpp
@@ -19,27 +19,27 @@
 constexpr auto stale_fence_status = 409;
 constexpr auto refused_status = 503;
 
-/// The body for the upstream, with the ticket's token limit and the text to resume behind.
-auto body_for(const request_context& context, const std::string& known_text) -> std::string {
+/// Returns the request body for the upstream, with the ticket's token limit and the text to resume after.
+auto body_for(const request_context& context, const std::string& received_text) -> std::string {
   if (!context.open_.service_.empty()) {
     return context.upstream_body_;
   }
   auto body = json::parse(context.upstream_body_);
   body["max_tokens"] = context.ticket_.call_.max_tokens_;
-  if (!known_text.empty()) {
-    body["resume_text"] = known_text;
+  if (!received_text.empty()) {
+    body["resume_text"] = received_text;
   }
   return body.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-auto request_for(const request_context& context, const std::string& known_text) -> upstream_request {
+auto request_for(const request_context& context, const std::string& received_text) -> upstream_request {
   auto request = upstream_request{};
   const auto& ticket = context.ticket_;
   const auto& order = context.open_.order_;
   auto service = !context.open_.service_.empty();
   request.target_ = ticket.address_;
   request.path_ = service ? "/" + context.service_path_ : "/v1/chat/completions";
-  request.body_ = body_for(context, known_text);
+  request.body_ = body_for(context, received_text);
   request.headers_ = {{"birchlever-key", ticket.call_.key_},
                       {"birchlever-fence", std::to_string(ticket.call_.sequence_)},
                       {"birchlever-session", order.account_ + "/" + order.program_},
@@ -58,136 +58,139 @@
       gateway_{std::move(gateway)},
       retries_{static_cast<double>(context_->settings_.retry_share_percent_)} {}
 
-auto dispatch_filter::apply(request_context& context) -> filter_verdict {
+auto dispatch_filter::apply(request_context& context) -> filter_result {
   retries_.earn();
   context.attempts_left_ = static_cast<int>(context_->settings_.attempts_);
   context.open_.traceparent_ = context.trace_.to_header();
   while (true) {
     --context.attempts_left_;
     switch (attempt(context, "")) {
-      case attempt_end::accepted:
-        return filter_verdict::go_on;
-      case attempt_end::answered:
-        return filter_verdict::answered;
-      case attempt_end::try_again:
+      case attempt_result::accepted:
+        return filter_result::proceed;
+      case attempt_result::answered:
+        return filter_result::answered;
+      case attempt_result::retry:
         break;
     }
   }
 }
 
-auto dispatch_filter::send_again(request_context& context, const std::string& known_text) -> filter_verdict {
+auto dispatch_filter::resend(request_context& context, const std::string& received_text) -> filter_result {
   context.open_.avoid_.push_back(context.ticket_.upstream_);
   while (context.attempts_left_ > 0 && retries_.spend()) {
     --context.attempts_left_;
-    auto end = attempt(context, known_text);
-    if (end == attempt_end::accepted) {
-      return filter_verdict::go_on;
+    auto end = attempt(context, received_text);
+    if (end == attempt_result::accepted) {
+      return filter_result::proceed;
     }
-    if (end == attempt_end::answered) {
-      return filter_verdict::answered;
+    if (end == attempt_result::answered) {
+      return filter_result::answered;
     }
   }
-  return refuse(context, {error_code::upstream_failed, "the upstream's answer broke off and no retry is left",
-                          ran_state::ran, 1000});
+  return refuse(
+      context, {error_code::upstream_failed,
+                "upstream response was interrupted and the retry budget is exhausted", ran_state::ran, 1000});
 }
 
-auto dispatch_filter::attempt(request_context& context, const std::string& known_text) -> attempt_end {
-  auto left = context.deadline_at_ - context_->clock_->now();
-  if (left <= 0) {
-    refuse(context, {error_code::deadline_exceeded, "the deadline passed before the call was sent"});
-    return attempt_end::answered;
+auto dispatch_filter::attempt(request_context& context, const std::string& received_text) -> attempt_result {
+  auto remaining = context.deadline_at_ - context_->clock_->now();
+  if (remaining <= 0) {
+    refuse(context, {error_code::deadline_exceeded, "deadline exceeded before the call was sent"});
+    return attempt_result::answered;
   }
-  context.open_.order_.deadline_ = left;
-  auto began = context_->clock_->now();
+  context.open_.order_.deadline_ = remaining;
+  auto started_at = context_->clock_->now();
   auto span = scoped_span{*context_->traces_, context.trace_, "entry.open"};
   auto reply = gateway_->open(context.open_);
-  context_->metrics_->observe("owner_open_ms", static_cast<double>(context_->clock_->now() - began));
+  context_->metrics_->observe("owner_open_ms", static_cast<double>(context_->clock_->now() - started_at));
   if (!ok(reply)) {
     context.failure_ = failure(reply);
-    return attempt_end::answered;
+    return attempt_result::answered;
   }
   if (auto* replayed = std::get_if<replayed_answer>(&value(reply))) {
     context.replay_ = std::move(replayed->answer_);
-    return attempt_end::answered;
+    return attempt_result::answered;
   }
   context.ticket_ = std::get<dispatch_ticket>(value(reply));
-  context.ticket_usable_until_ = began + context.ticket_.waited_ + context.ticket_.send_within_;
-  return send(context, known_text);
+  context.ticket_usable_until_ = started_at + context.ticket_.waited_ + context.ticket_.send_within_;
+  return send(context, received_text);
 }
 
-auto dispatch_filter::send(request_context& context, const std::string& known_text) -> attempt_end {
+auto dispatch_filter::send(request_context& context, const std::string& received_text) -> attempt_result {
   auto span = scoped_span{*context_->traces_, context.trace_, "entry.send"};
   span.tag("upstream", context.ticket_.upstream_);
-  auto patience = std::min(context_->settings_.upstream_wait_ms_,
+  auto max_wait = std::min(context_->settings_.upstream_wait_ms_,
                            std::max<milliseconds>(1, context.deadline_at_ - context_->clock_->now()));
-  auto request = request_for(context, known_text);
-  auto checked = test_switches::instance().mechanism_on("ticket_age");
-  if (checked && context_->clock_->now() > context.ticket_usable_until_) {
-    return refused(context, {error_code::lease_lost, "the ticket is too old to be used"});
+  auto request = request_for(context, received_text);
+  auto check_age = test_switches::instance().mechanism_on("ticket_age");
+  if (check_age && context_->clock_->now() > context.ticket_usable_until_) {
+    return handle_refusal(context, {error_code::lease_lost, "ticket expired before the call was sent"});
   }
   context.exchange_ = upstream_exchange::start(context_->stream_pool_, std::move(request));
-  auto status = context.exchange_->wait_status(patience);
+  auto status = context.exchange_->wait_status(max_wait);
   if (!ok(status)) {
     auto reason = failure(status);
-    return reason.ran_ == ran_state::not_run ? refused(context, reason) : broken(context, reason);
+    return reason.ran_ == ran_state::not_run ? handle_refusal(context, reason)
+                                             : handle_failure(context, reason);
   }
   auto service = !context.open_.service_.empty();
   if (value(status) == accepted_status) {
     report_accepted(context);
-    return attempt_end::accepted;
+    return attempt_result::accepted;
   }
   if (value(status) == stale_fence_status) {
-    return refused(context, {error_code::stale_fence, "the upstream has seen a newer fencing number"});
+    return handle_refusal(context, {error_code::stale_fence, "upstream has seen a newer fencing token"});
   }
   if (value(status) == refused_status) {
-    return refused(context, {error_code::upstream_refused, "the upstream takes no more calls now"});
+    return handle_refusal(context, {error_code::upstream_refused, "upstream rejected the call"});
   }
   if (service) {
     report_accepted(context);
-    return attempt_end::accepted;  // The service's own word, whatever it says, is the answer.
+    return attempt_result::accepted;  // Any other status of a plain service is its answer.
   }
   if (value(status) == 404) {
     settle_later(context, call_outcome::not_run);
-    refuse(context, {error_code::unknown_model, "no engine has the model " + context.open_.model_});
-    return attempt_end::answered;
+    refuse(context, {error_code::unknown_model, "engine does not serve model " + context.open_.model_});
+    return attempt_result::answered;
   }
-  return broken(context, {error_code::upstream_failed, "the engine answered " + std::to_string(value(status)),
-                          ran_state::outcome_unknown});
+  return handle_failure(
+      context, {error_code::upstream_failed, "engine responded with status " + std::to_string(value(status)),
+                ran_state::outcome_unknown});
 }
 
-auto dispatch_filter::refused(request_context& context, error reason) -> attempt_end {
+auto dispatch_filter::handle_refusal(request_context& context, error reason) -> attempt_result {
   context_->metrics_->count("upstream_refusals_total");
   if (context.attempts_left_ > 0 && retries_.spend()) {
     prepare_retry(context, call_outcome::not_run);
-    return attempt_end::try_again;  // Surely not run, so even a call that may not be repeated goes on.
+    return attempt_result::retry;  // Not run, so a retry is safe even if the call is not repeatable.
   }
   settle_later(context, call_outcome::not_run);
   reason.ran_ = ran_state::not_run;
   reason.retry_after_ms_ = 1000;
   refuse(context, std::move(reason));
-  return attempt_end::answered;
+  return attempt_result::answered;
 }
 
-auto dispatch_filter::broken(request_context& context, error reason) -> attempt_end {
+auto dispatch_filter::handle_failure(request_context& context, error reason) -> attempt_result {
   context.may_have_run_ = true;
   context_->metrics_->count("upstream_failures_total");
   auto repeatable =
       context.open_.order_.repeatable_ || !test_switches::instance().mechanism_on("at_most_once");
   if (repeatable && context.attempts_left_ > 0 && retries_.spend()) {
     prepare_retry(context, call_outcome::failed);
-    return attempt_end::try_again;
+    return attempt_result::retry;
   }
   settle_later(context, call_outcome::failed);
   if (!context.open_.order_.repeatable_) {
     reason.code_ = error_code::outcome_unknown;
-    reason.detail_ += "; the call may not be repeated and is not sent again";
+    reason.detail_ += "; the call is not repeatable";
   }
   reason.ran_ = ran_state::outcome_unknown;
   refuse(context, std::move(reason));
-  return attempt_end::answered;
+  return attempt_result::answered;
 }
 
-/// The owner must know how the attempt ended before it gives a ticket for the next one.
+/// Reports the failed attempt first: the owner issues the next ticket only once it knows the outcome.
 auto dispatch_filter::prepare_retry(request_context& context, call_outcome outcome) -> void {
   (void)settle(context, outcome, 0, 0, "");
   context.open_.avoid_.push_back(context.ticket_.upstream_);
@@ -199,7 +202,7 @@
     (void)settle(context, outcome, 0, 0, "");
     return;
   }
-  gateway_->settle_later(report_of(context, outcome, 0, 0, ""));
+  gateway_->settle_later(make_settle_request(context, outcome, 0, 0, ""));
 }
 
 auto dispatch_filter::report_accepted(const request_context& context) -> void {
@@ -213,12 +216,12 @@
 auto dispatch_filter::settle(const request_context& context, call_outcome outcome, std::int64_t tokens,
                              std::int64_t cached_tokens, const std::string& answer) -> settle_reply {
   auto span = scoped_span{*context_->traces_, context.trace_, "entry.settle"};
-  return gateway_->settle(report_of(context, outcome, tokens, cached_tokens, answer));
+  return gateway_->settle(make_settle_request(context, outcome, tokens, cached_tokens, answer));
 }
 
-auto dispatch_filter::report_of(const request_context& context, call_outcome outcome, std::int64_t tokens,
-                                std::int64_t cached_tokens, const std::string& answer) const
-    -> settle_request {
+auto dispatch_filter::make_settle_request(const request_context& context, call_outcome outcome,
+                                          std::int64_t tokens, std::int64_t cached_tokens,
+                                          const std::string& answer) const -> settle_request {
   const auto& order = context.open_.order_;
   const auto& ticket = context.ticket_;
   auto request = settle_request{};
--- a/birchlever/filters/parse_filter.h
+++ b/birchlever/filters/parse_filter.h
@@ -1,4 +1,4 @@
-/// Reads chat completions and plain-service calls into the system's own terms.
+/// Parses and validates chat completions and plain-service calls.
 #pragma once
 
 #include "birchlever/filters/request_filter.h"
@@ -7,12 +7,12 @@
 
 struct daemon_settings;
 
-/// Refuses with malformed_json, wrong_type, missing_field or body_too_large.
+/// Rejects with malformed_json, wrong_type, missing_field or body_too_large.
 class parse_filter final : public request_filter {
  public:
   explicit parse_filter(const daemon_settings& settings);
 
-  auto apply(request_context& context) -> filter_verdict override;
+  auto apply(request_context& context) -> filter_result override;
 
  private:
   auto parse_chat(request_context& context) const -> status;
--- a/birchlever/filters/request_filter.h
+++ b/birchlever/filters/request_filter.h
@@ -1,4 +1,4 @@
-/// One step of the way of a request.
+/// Interface of the filters that a caller's request passes through.
 #pragma once
 
 #include <memory>
@@ -8,42 +8,42 @@
 
 namespace birchlever {
 
-/// Whether the request goes on to the next filter.
-enum class filter_verdict { go_on, answered };
+/// Whether the next filter runs.
+enum class filter_result { proceed, answered };
 
-/// What embedders supply to add a step. A filter that answers sets failure_ or replay_.
+/// A processing step. A filter that returns `answered` must have set failure_ or replay_.
 class request_filter {
  public:
   virtual ~request_filter() = default;
 
-  /// Looks at the request, changes it or answers it.
-  virtual auto apply(request_context& context) -> filter_verdict = 0;
+  /// Inspects, modifies or answers the request.
+  virtual auto apply(request_context& context) -> filter_result = 0;
 };
 
-/// Filters in order.
+/// Runs filters in a fixed order.
 class filter_chain {
  public:
   explicit filter_chain(std::vector<std::unique_ptr<request_filter>> filters)
       : filters_{std::move(filters)} {}
 
-  /// Runs the filters until one answers.
-  auto run(request_context& context) -> filter_verdict {
+  /// Runs the filters until one of them answers the request.
+  auto run(request_context& context) -> filter_result {
     for (auto& filter : filters_) {
-      if (filter->apply(context) == filter_verdict::answered) {
-        return filter_verdict::answered;
+      if (filter->apply(context) == filter_result::answered) {
+        return filter_result::answered;
       }
     }
-    return filter_verdict::go_on;
+    return filter_result::proceed;
   }
 
  private:
   std::vector<std::unique_ptr<request_filter>> filters_;
 };
 
-/// Ends a request with a failure.
-inline auto refuse(request_context& context, error failure) -> filter_verdict {
+/// Answers a request with a failure.
+inline auto refuse(request_context& context, error failure) -> filter_result {
   context.failure_ = std::move(failure);
-  return filter_verdict::answered;
+  return filter_result::answered;
 }
 
 }  // namespace birchlever
--- a/birchlever/filters/retry_budget.h
+++ b/birchlever/filters/retry_budget.h
@@ -1,4 +1,4 @@
-/// Bounds retries to a share of first attempts, so that trouble is not multiplied.
+/// Limits retries to a share of the first attempts, so that retries do not amplify an overload.
 #pragma once
 
 #include <algorithm>
@@ -6,35 +6,35 @@
 
 namespace birchlever {
 
-/// Thread safe. Every first attempt earns a fraction of a retry; a small reserve allows the first few.
+/// A token bucket that first attempts fill and retries drain. Starts half full. Thread-safe.
 class retry_budget {
  public:
-  /// So many retries per hundred first attempts.
-  explicit retry_budget(double percent) : earned_per_attempt_{percent / hundred} {}
+  /// `percent` is the number of retries allowed per 100 first attempts.
+  explicit retry_budget(double percent) : credit_per_attempt_{percent / hundred} {}
 
-  /// A first attempt was made.
+  /// Credits a first attempt.
   auto earn() -> void {
     auto lock = std::lock_guard{mutex_};
-    saved_ = std::min(most_saved, saved_ + earned_per_attempt_);
+    balance_ = std::min(max_balance, balance_ + credit_per_attempt_);
   }
 
-  /// Takes one retry; false when the budget is spent.
+  /// Takes one retry from the budget. Returns false if the budget is exhausted.
   auto spend() -> bool {
     auto lock = std::lock_guard{mutex_};
-    if (saved_ < 1) {
+    if (balance_ < 1) {
       return false;
     }
-    saved_ -= 1;
+    balance_ -= 1;
     return true;
   }
 
  private:
   static constexpr double hundred = 100;
-  static constexpr double most_saved = 20;
+  static constexpr double max_balance = 20;
 
   std::mutex mutex_;
-  double earned_per_attempt_ = 0;
-  double saved_ = most_saved / 2;
+  double credit_per_attempt_ = 0;
+  double balance_ = max_balance / 2;
 };
 
 }  // namespace birchlever
--- a/unit_tests/filters/parse_filter_test.cpp
+++ b/unit_tests/filters/parse_filter_test.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-TEST_CASE("a chat completion is read from headers and from the body's own object") {
+TEST_CASE("call metadata is read from headers or from the birchlever object of the body") {
   auto by_header =
       parse(good_body, {{"birchlever-program", "p"}, {"birchlever-call", "3"}, {"birchlever-budget", "50"}});
   REQUIRE(!by_header.failure_);
@@ -42,7 +42,7 @@
   CHECK(by_body.upstream_body_.find("birchlever") == std::string::npos);
 }
 
-TEST_CASE("each kind of bad request has its own error") {
+TEST_CASE("each kind of invalid request has its own error code") {
   CHECK(code_of(parse("{")) == error_code::malformed_json);
   CHECK(code_of(parse("[]")) == error_code::wrong_type);
   CHECK(code_of(parse("{}")) == error_code::missing_field);
@@ -62,24 +62,24 @@
   CHECK(code_of(parse(good_body, {{"birchlever-call", "99999999999999999999"}})) == error_code::wrong_type);
 }
 
-TEST_CASE("a service call may not be repeated unless its caller says so") {
+TEST_CASE("a service call is not repeatable by default") {
   auto settings = daemon_settings{};
   auto context = request_context{};
   context.open_.service_ = "registry";
   context.headers_ = {{"birchlever-program", "p"}, {"birchlever-call", "1"}};
-  CHECK(parse_filter{settings}.apply(context) == filter_verdict::go_on);
+  CHECK(parse_filter{settings}.apply(context) == filter_result::proceed);
   CHECK(!context.open_.order_.repeatable_);
 }
 
-TEST_CASE("not run is told only when it is true of every attempt") {
+TEST_CASE("not_run is reported only if no attempt may have run") {
   auto context = request_context{};
   auto refusal = error{error_code::no_upstream, "none"};
-  CHECK(context.truthful(refusal).ran_ == ran_state::not_run);
+  CHECK(context.with_accurate_run_state(refusal).ran_ == ran_state::not_run);
   context.may_have_run_ = true;
-  CHECK(context.truthful(refusal).ran_ == ran_state::outcome_unknown);
+  CHECK(context.with_accurate_run_state(refusal).ran_ == ran_state::outcome_unknown);
 }
 
-TEST_CASE("no body makes the filter fail otherwise than by type") {
+TEST_CASE("mutated request bodies cause no server error") {
   auto generator = std::mt19937_64{7};
   for (auto round = 0; round < 3000; ++round) {
     auto body = std::string{good_body};
