--- a/birchlever/gateway/account_filter.cpp
+++ b/birchlever/gateway/account_filter.cpp
@@ -12,61 +12,61 @@
 namespace birchlever {
 namespace {
 
-constexpr auto any_knowledge = std::numeric_limits<milliseconds>::min();  // Where the age does not matter.
+constexpr auto any_time = std::numeric_limits<milliseconds>::min();  // No limit on the age.
 
-constexpr auto holds_in_its_time = 2;  // A request that is no stream is held for a half of its time at most:
-                                       // the other half is for its caller's next try.
+constexpr auto hold_divisor = 2;  // Holds other requests than streams for half of their time at most,
+                                  // which leaves the caller time for a retry.
 
-auto holder_of(const gateway_request& request) -> const client_account* {
-  const auto& digest = request.facts_.key_digest_;
+auto find_account(const gateway_request& request) -> const client_account* {
+  const auto& digest = request.metadata_.key_digest_;
   return digest.empty() ? nullptr : request.configuration_->accounts_->holder_of(digest);
 }
 
 }  // namespace
 
-auto account_filter::needed_knowledge(const gateway_request& request) const -> milliseconds {
-  const auto& trust = context_->freshness_limits_;
-  auto known = holder_of(request) != nullptr;
-  auto bound = known ? trust.known_key_max_age_ms_ : trust.unknown_key_max_age_ms_;
-  return bound > 0 ? request.received_at_ - bound : any_knowledge;
+auto account_filter::min_verified_at(const gateway_request& request) const -> milliseconds {
+  const auto& limits = context_->freshness_limits_;
+  auto known = find_account(request) != nullptr;
+  auto max_age = known ? limits.known_key_max_age_ms_ : limits.unknown_key_max_age_ms_;
+  return max_age > 0 ? request.received_at_ - max_age : any_time;
 }
 
-auto account_filter::longest_hold(const gateway_request& request) const -> milliseconds {
+auto account_filter::max_hold(const gateway_request& request) const -> milliseconds {
   if (request.route_->kind_ == route_kind::streaming) {
-    return stream_patience(request, context_->freshness_limits_.min_stream_hold_ms_);
+    return max_stream_hold(request, context_->freshness_limits_.min_stream_hold_ms_);
   }
-  return (request.due_ - request.received_at_) / holds_in_its_time;
+  return (request.deadline_ - request.received_at_) / hold_divisor;
 }
 
-auto account_filter::hold(gateway_request& request) -> task<status> {
-  auto hold_until = request.received_at_ + longest_hold(request);
-  auto began = context_->clock_.now();
-  auto renewed = co_await context_->freshness_->wait_until_covers(
-      needed_knowledge(request), std::max<milliseconds>(hold_until - began, 0));
-  context_->metrics_->observe("account_hold_ms", static_cast<double>(context_->clock_.now() - began));
-  if (!renewed) {
+auto account_filter::wait_for_configuration(gateway_request& request) -> task<status> {
+  auto hold_until = request.received_at_ + max_hold(request);
+  auto started_at = context_->clock_.now();
+  auto verified = co_await context_->freshness_->wait_until_covers(
+      min_verified_at(request), std::max<milliseconds>(hold_until - started_at, 0));
+  context_->metrics_->observe("account_hold_ms", static_cast<double>(context_->clock_.now() - started_at));
+  if (!verified) {
     co_return error{error_code::configuration_stale,
-                    "what is known here of client accounts is too old to judge key " +
-                        shown_digest(request.facts_.key_digest_),
+                    "client account configuration is too old to authenticate key " +
+                        shown_digest(request.metadata_.key_digest_),
                     ran_state::not_run, context_->freshness_limits_.retry_ms_};
   }
   request.configuration_ = context_->configuration_;
   co_return resolve_route(request);
 }
 
-auto account_filter::judge(gateway_request& request) -> status {
+auto account_filter::authenticate(gateway_request& request) -> status {
   if (!request.configuration_->accounts_) {
     return success;
   }
-  request.account_ = holder_of(request);
+  request.account_ = find_account(request);
   if (request.account_ != nullptr || request.route_->public_) {
     return success;
   }
-  const auto& digest = request.facts_.key_digest_;
+  const auto& digest = request.metadata_.key_digest_;
   if (digest.empty()) {
-    return error{error_code::unauthenticated, "the request carries no key of a client account"};
+    return error{error_code::unauthenticated, "missing client account key"};
   }
-  return error{error_code::unauthenticated, "no client account holds key " + shown_digest(digest)};
+  return error{error_code::unauthenticated, "unknown client account key " + shown_digest(digest)};
 }
 
 auto account_filter::apply(gateway_request& request, next_filter next) -> task<> {
@@ -74,13 +74,13 @@
     co_await next(request);
     co_return;
   }
-  auto without_account = request.route_->public_ && holder_of(request) == nullptr;
+  auto without_account = request.route_->public_ && find_account(request) == nullptr;
   auto outcome = status{success};
-  if (!without_account && !context_->freshness_->covers(needed_knowledge(request))) {
-    outcome = co_await hold(request);
+  if (!without_account && !context_->freshness_->covers(min_verified_at(request))) {
+    outcome = co_await wait_for_configuration(request);
   }
   if (ok(outcome)) {
-    outcome = judge(request);
+    outcome = authenticate(request);
   }
   if (!ok(outcome)) {
     auto reason = failure(outcome);
--- a/birchlever/gateway/account_filter.h
+++ b/birchlever/gateway/account_filter.h
@@ -1,5 +1,4 @@
-/// Finds the client account that a request's key belongs to, by knowledge that is new enough to honour the
-/// key.
+/// Authenticates requests by their key, using a configuration that is recent enough.
 #pragma once
 
 #include "birchlever/gateway/gateway_context.h"
@@ -7,9 +6,9 @@
 
 namespace birchlever {
 
-/// Answers 401 for a missing or unknown key, 503 when the knowledge stays too old for as long as the caller
-/// can bear. Public routes need no key. Reads nothing of the store for a request: looks at the configuration
-/// are shared by all that wait. Where the configuration tells no accounts apart, every request passes.
+/// Responds with 401 to a missing or unknown key, and with 503 if the configuration is not refreshed within
+/// the hold limit. Public routes need no key. Requests that wait share one poll of the configuration; none
+/// reads the store itself. If the configuration defines no accounts, every request passes.
 class account_filter final : public gateway_filter {
  public:
   explicit account_filter(std::shared_ptr<gateway_context> context) : context_{std::move(context)} {}
@@ -17,13 +16,13 @@
   auto apply(gateway_request& request, next_filter next) -> task<> override;
 
  private:
-  /// The moment of our clock at which the configuration must have been known to judge a request by it.
-  [[nodiscard]] auto needed_knowledge(const gateway_request& request) const -> milliseconds;
+  /// Returns the earliest time, on the local clock, at which the configuration must have been verified.
+  [[nodiscard]] auto min_verified_at(const gateway_request& request) const -> milliseconds;
 
-  /// ms from its arrival for which a request may wait for newer knowledge.
-  [[nodiscard]] auto longest_hold(const gateway_request& request) const -> milliseconds;
-  auto hold(gateway_request& request) -> task<status>;
-  static auto judge(gateway_request& request) -> status;
+  /// Returns how long after its arrival a request may wait for a newer configuration, in ms.
+  [[nodiscard]] auto max_hold(const gateway_request& request) const -> milliseconds;
+  auto wait_for_configuration(gateway_request& request) -> task<status>;
+  static auto authenticate(gateway_request& request) -> status;
 
   std::shared_ptr<gateway_context> context_;
 };
--- a/birchlever/gateway/allotment_filter.cpp
+++ b/birchlever/gateway/allotment_filter.cpp
@@ -6,28 +6,29 @@
 namespace birchlever {
 namespace {
 
-constexpr auto aim_over_duration = 2;  // A program's aim is about twice its duration on idle upstreams.
-constexpr auto usual_program_ms = milliseconds{4000};  // Of programs that tell no aim: some ten turns.
-
-/// The first turn of a program; its sub-agents go on from its turns. A request outside programs stands alone.
-auto begins_program(const gateway_request& request) -> bool {
-  const auto& facts = request.facts_;
-  return facts.program_.empty() || (request.route_->keeps_turns_ && facts.previous_turn_.empty());
+constexpr auto target_duration_ratio = 2;  // Of a program's time limit to its duration on idle upstreams.
+constexpr auto default_program_ms = milliseconds{4000};  // For programs without a time limit.
+
+/// Returns true for the first turn of a program, and for any request outside programs. The first turn of a
+/// sub-agent continues a turn of its program, so it does not start one.
+auto starts_program(const gateway_request& request) -> bool {
+  const auto& metadata = request.metadata_;
+  return metadata.program_.empty() || (request.route_->keeps_turns_ && metadata.previous_turn_.empty());
 }
 
 }  // namespace
 
-auto allotment_filter::claim_of(const gateway_request& request, bool begins) const -> allotment_claim {
-  auto wanted = allotment_claim{};
-  wanted.account_ = request.account_->name_;
-  wanted.allotment_ = request.account_->allotment_;
-  wanted.begins_program_ = begins;
-  if (begins && !request.facts_.program_.empty()) {
-    auto aim = request.facts_.program_time_left_;
-    wanted.program_requests_ = sizes_.requests();
-    wanted.program_ms_ = aim ? *aim / aim_over_duration : usual_program_ms;
+auto allotment_filter::make_claim(const gateway_request& request, bool starts) const -> allotment_claim {
+  auto claim = allotment_claim{};
+  claim.account_ = request.account_->name_;
+  claim.allotment_ = request.account_->allotment_;
+  claim.begins_program_ = starts;
+  if (starts && !request.metadata_.program_.empty()) {
+    auto time_left = request.metadata_.program_time_left_;
+    claim.program_requests_ = sizes_.requests();
+    claim.program_ms_ = time_left ? *time_left / target_duration_ratio : default_program_ms;
   }
-  return wanted;
+  return claim;
 }
 
 auto allotment_filter::apply(gateway_request& request, next_filter next) -> task<> {
@@ -35,21 +36,21 @@
     co_await next(request);
     co_return;
   }
-  auto began = context_->clock_.now();
-  auto begins = begins_program(request);
-  auto wanted = claim_of(request, begins);
-  auto verdict = co_await context_->allotments_->claim(std::move(wanted));
-  if (verdict.granted_ && !request.facts_.program_.empty()) {
-    sizes_.note(begins, began);
+  auto started_at = context_->clock_.now();
+  auto starts = starts_program(request);
+  auto claim = make_claim(request, starts);
+  auto decision = co_await context_->allotments_->claim(std::move(claim));
+  if (decision.granted_ && !request.metadata_.program_.empty()) {
+    sizes_.note(starts, started_at);
   }
-  if (verdict.granted_ && verdict.wait_ > 0) {
-    co_await pause_for(*context_->loop_, verdict.wait_);
+  if (decision.granted_ && decision.wait_ > 0) {
+    co_await pause_for(*context_->loop_, decision.wait_);
   }
-  context_->metrics_->observe("allotment_ms", static_cast<double>(context_->clock_.now() - began));
-  if (!verdict.granted_) {
-    auto detail = begins ? "the account's allotment has no room for a further program"
-                         : "the account's allotment is used up";
-    auto reason = error{error_code::account_over_limit, detail, ran_state::not_run, verdict.retry_after_};
+  context_->metrics_->observe("allotment_ms", static_cast<double>(context_->clock_.now() - started_at));
+  if (!decision.granted_) {
+    auto detail = starts ? "allotment of the client account has no capacity for another program"
+                         : "allotment of the client account is exhausted";
+    auto reason = error{error_code::account_over_limit, detail, ran_state::not_run, decision.retry_after_};
     co_await refuse(*context_, request, reason);
     co_return;
   }
--- a/birchlever/gateway/allotment_filter.h
+++ b/birchlever/gateway/allotment_filter.h
@@ -1,4 +1,4 @@
-/// Lets a request go on while its client account's allotment has room.
+/// Enforces the allotments of client accounts.
 #pragma once
 
 #include "birchlever/accounts/program_sizes.h"
@@ -9,8 +9,8 @@
 
 struct allotment_claim;
 
-/// Answers 429, with when to come back, beyond the allotment. Accounts without a limit, and requests without
-/// an account, pass at no cost.
+/// Responds with 429 and Retry-After if the allotment is exhausted, and paces requests that are granted with
+/// a delay. Requests without an account or of an unlimited account pass.
 class allotment_filter final : public gateway_filter {
  public:
   explicit allotment_filter(std::shared_ptr<gateway_context> context) : context_{std::move(context)} {}
@@ -18,7 +18,7 @@
   auto apply(gateway_request& request, next_filter next) -> task<> override;
 
  private:
-  [[nodiscard]] auto claim_of(const gateway_request& request, bool begins) const -> allotment_claim;
+  [[nodiscard]] auto make_claim(const gateway_request& request, bool starts_program) const -> allotment_claim;
 
   std::shared_ptr<gateway_context> context_;
   program_sizes sizes_;
--- a/birchlever/gateway/configuration_freshness.cpp
+++ b/birchlever/gateway/configuration_freshness.cpp
@@ -4,32 +4,34 @@
 
 namespace birchlever {
 
-auto configuration_freshness::record_poll(milliseconds began_at) -> void {
-  if (sure_at_ && *sure_at_ >= began_at) {
+auto configuration_freshness::record_poll(milliseconds started_at) -> void {
+  if (verified_at_ && *verified_at_ >= started_at) {
     return;
   }
-  if (std::exchange(too_old_, false)) {
-    log_event(log_level::info, "account_knowledge_renewed",
-              {{"was_old_ms", sure_at_ ? clock_.now() - *sure_at_ : 0}, {"age_ms", clock_.now() - began_at}});
+  if (std::exchange(stale_, false)) {
+    log_event(log_level::info, "account_configuration_refreshed",
+              {{"was_old_ms", verified_at_ ? clock_.now() - *verified_at_ : 0},
+               {"age_ms", clock_.now() - started_at}});
   }
-  sure_at_ = began_at;
+  verified_at_ = started_at;
   changed_.notify();
 }
 
-auto configuration_freshness::wait_until_covers(milliseconds moment, milliseconds limit) -> task<bool> {
-  auto due = clock_.now() + limit;
-  if (!std::exchange(too_old_, true)) {
-    log_event(log_level::warning, "account_knowledge_too_old",
-              {{"age_ms", sure_at_ ? clock_.now() - *sure_at_ : 0}, {"known", sure_at_.has_value()}});
+auto configuration_freshness::wait_until_covers(milliseconds time, milliseconds limit) -> task<bool> {
+  auto deadline = clock_.now() + limit;
+  if (!std::exchange(stale_, true)) {
+    log_event(
+        log_level::warning, "account_configuration_stale",
+        {{"age_ms", verified_at_ ? clock_.now() - *verified_at_ : 0}, {"known", verified_at_.has_value()}});
   }
-  if (waiting_++ == 0 && on_wanted_) {
-    on_wanted_();
+  if (waiters_++ == 0 && on_first_waiter_) {
+    on_first_waiter_();
   }
-  while (!covers(moment) && clock_.now() < due) {
-    co_await changed_.wait_for(due - clock_.now());
+  while (!covers(time) && clock_.now() < deadline) {
+    co_await changed_.wait_for(deadline - clock_.now());
   }
-  --waiting_;
-  co_return covers(moment);
+  --waiters_;
+  co_return covers(time);
 }
 
 }  // namespace birchlever
--- a/birchlever/gateway/configuration_freshness.h
+++ b/birchlever/gateway/configuration_freshness.h
@@ -1,10 +1,8 @@
-/// Since when this daemon's knowledge of the configuration is sure, and requests that wait for newer
-/// knowledge.
+/// Tracks how recently the local configuration was verified against the store.
 ///
-/// What an answered look at the store shows was true when the look began, however late its answer came. So a
-/// key that was taken away is honoured at most for the age of the last answered look. A request whose bound
-/// on that age is passed is held until a newer look answers: refusing it at once would burn its caller's few
-/// tries within a second of an outage.
+/// A poll's result is only known to be valid as of the start of the poll. A revoked key is therefore accepted
+/// for at most the age of the last successful poll. Requests that need a more recent configuration wait for
+/// the next poll, since rejecting them at once would exhaust their callers' retries during a short outage.
 #pragma once
 
 #include <functional>
@@ -15,36 +13,36 @@
 
 namespace birchlever {
 
-/// For coroutines of one loop.
+/// For coroutines of a single event loop; not thread-safe.
 class configuration_freshness {
  public:
   explicit configuration_freshness(event_loop& loop) : changed_{loop} {}
 
-  /// A look that began at this moment of our clock was answered, and what it told is in force here.
-  auto record_poll(milliseconds began_at) -> void;
+  /// Records a successful poll that started at `started_at` on the local clock, after its result was applied.
+  auto record_poll(milliseconds started_at) -> void;
 
-  /// The latest such moment; none before the first look.
-  [[nodiscard]] auto verified_at() const -> std::optional<milliseconds> { return sure_at_; }
+  /// Returns the start of the latest successful poll, or nothing before the first one.
+  [[nodiscard]] auto verified_at() const -> std::optional<milliseconds> { return verified_at_; }
 
-  /// True when the knowledge is at least as new as a moment of our clock.
-  [[nodiscard]] auto covers(milliseconds moment) const -> bool { return sure_at_ && *sure_at_ >= moment; }
+  /// Returns true if the configuration was verified at or after `time` on the local clock.
+  [[nodiscard]] auto covers(milliseconds time) const -> bool { return verified_at_ && *verified_at_ >= time; }
 
-  /// Waits until the knowledge covers a moment, for `limit` ms at most. True when it does.
-  auto wait_until_covers(milliseconds moment, milliseconds limit) -> task<bool>;
+  /// Waits for at most `limit` ms until the configuration covers `time`. Returns whether it does.
+  auto wait_until_covers(milliseconds time, milliseconds limit) -> task<bool>;
 
-  /// True while a request waits.
-  [[nodiscard]] auto has_waiters() const -> bool { return waiting_ > 0; }
+  /// Returns true while any request waits.
+  [[nodiscard]] auto has_waiters() const -> bool { return waiters_ > 0; }
 
-  /// Called when a request begins to wait and none did before: then the store is to be asked at once.
-  auto on_first_waiter(std::function<void()> callback) -> void { on_wanted_ = std::move(callback); }
+  /// Sets a callback for when a request starts to wait and no other does. It should poll the store at once.
+  auto on_first_waiter(std::function<void()> callback) -> void { on_first_waiter_ = std::move(callback); }
 
  private:
   steady_clock clock_;
-  std::optional<milliseconds> sure_at_;
+  std::optional<milliseconds> verified_at_;
   loop_signal changed_;
-  std::function<void()> on_wanted_;
-  int waiting_ = 0;
-  bool too_old_ = false;  ///< A request had to wait since the last look.
+  std::function<void()> on_first_waiter_;
+  int waiters_ = 0;
+  bool stale_ = false;  ///< Whether a request has waited since the last successful poll.
 };
 
 }  // namespace birchlever
--- a/birchlever/gateway/gateway_context.cpp
+++ b/birchlever/gateway/gateway_context.cpp
@@ -21,21 +21,21 @@
 
 auto refuse(gateway_context& context, gateway_request& request, const error& reason) -> task<> {
   auto status = http_status_of(reason.code_);
-  auto answer = http_response{static_cast<http::status>(status), 11};
-  answer.set(http::field::content_type, "application/json");
+  auto response = http_response{static_cast<http::status>(status), 11};
+  response.set(http::field::content_type, "application/json");
   if (reason.retry_after_ms_ > 0) {
-    answer.set(http::field::retry_after, seconds_text(reason.retry_after_ms_));
+    response.set(http::field::retry_after, seconds_text(reason.retry_after_ms_));
   }
-  answer.keep_alive(request.keep_alive_ && !context.stopping_);
-  request.keep_alive_ = answer.keep_alive();
-  answer.body() = to_json_text(reason);
-  answer.prepare_payload();
-  request.answered_ = true;
+  response.keep_alive(request.keep_alive_ && !context.stopping_);
+  request.keep_alive_ = response.keep_alive();
+  response.body() = to_json_text(reason);
+  response.prepare_payload();
+  request.response_started_ = true;
   request.final_status_ = status;
   context.metrics_->count("refusals_total{reason=\"" + std::string{name_of(reason.code_)} + "\"}");
   log_event(log_level::info, "request_refused",
-            {{"request", request.facts_.request_id_},
-             {"program", request.facts_.program_},
+            {{"request", request.metadata_.request_id_},
+             {"program", request.metadata_.program_},
              {"account", request.account_name()},
              {"route", request.route_ == nullptr ? std::string{} : request.route_->name_},
              {"status", std::int64_t{status}},
@@ -45,7 +45,7 @@
              {"retry_after_ms", reason.retry_after_ms_},
              {"configuration", request.configuration_ ? request.configuration_->version_ : 0},
              {"held_ms", context.clock_.now() - request.received_at_}});
-  co_await request.connection_->write(std::move(answer));
+  co_await request.connection_->write(std::move(response));
 }
 
 }  // namespace birchlever
--- a/birchlever/gateway/gateway_context.h
+++ b/birchlever/gateway/gateway_context.h
@@ -1,4 +1,4 @@
-/// What the gateway's filters share.
+/// State shared by the gateway's filters.
 #pragma once
 
 #include <memory>
@@ -18,30 +18,28 @@
 class program_store;
 class upstream_directory;
 
-/// ms for which a request is held when neither its caller nor an operator sets a limit.
-inline constexpr auto unlimited_ms = milliseconds{60000};
+/// Time limit of requests for which neither the caller nor the route sets one.
+inline constexpr auto default_time_limit_ms = milliseconds{60000};
 
-/// Settings of serving that no operator changes while it runs.
+/// Limits that are fixed while the gateway runs.
 struct gateway_limits {
-  milliseconds safety_ms_ = 20;  ///< An upstream is given so much less than is left, for the way back.
-  int most_offers_ = 6;          ///< Upstreams that may refuse a request before the caller is refused.
-  std::size_t most_answer_bytes_ = 16U << 20U;  ///< A longer whole answer is not the upstream's.
+  milliseconds deadline_margin_ms_ =
+      20;                 ///< Subtracted from the time given to an upstream, for the response.
+  int max_attempts_ = 6;  ///< Maximum number of upstreams tried per request.
+  std::size_t max_response_bytes_ = 16U << 20U;  ///< Of a response that is not streamed.
   milliseconds streaming_max_idle_ms_ =
-      3000;  ///< Kept connections older than this carry no request that may run only once.
+      3000;  ///< Connections idle for longer carry no requests that must not run twice.
 };
 
-/// For how long what is known of client accounts may be used, and what happens when it is older. All in ms.
+/// Maximum age of the client account configuration, and the handling of requests when it is exceeded.
 struct account_freshness_limits {
-  milliseconds known_key_max_age_ms_ = 0;  ///< Age at most of knowledge that honours a key; 0 means any age.
-  milliseconds unknown_key_max_age_ms_ =
-      0;  ///< Age at most of knowledge that refuses a key; 0 means any age.
-  milliseconds min_stream_hold_ms_ =
-      1000;                       ///< A stream may wait at least so long for newer knowledge or the store:
-                                  ///< half of the shortest silence after which callers leave one.
-  milliseconds retry_ms_ = 3000;  ///< When a caller that waited in vain is told to come back.
+  milliseconds known_key_max_age_ms_ = 0;    ///< For accepting a key; 0: no limit.
+  milliseconds unknown_key_max_age_ms_ = 0;  ///< For rejecting a key; 0: no limit.
+  milliseconds min_stream_hold_ms_ = 1000;   ///< Minimum hold limit of streams.
+  milliseconds retry_ms_ = 3000;             ///< Retry-After of requests that timed out while waiting.
 };
 
-/// Owned by the daemon; outlives every request.
+/// Owned by the daemon. Outlives every request.
 struct gateway_context {
   event_loop* loop_ = nullptr;
   std::shared_ptr<request_dialect> dialect_;
@@ -50,23 +48,23 @@
   std::shared_ptr<program_store> programs_;
   std::shared_ptr<policy_book> policies_;
   std::shared_ptr<metrics> metrics_;
-  std::shared_ptr<const serving_configuration> configuration_;  ///< None until the first was read.
-  std::string engine_policy_;                                   ///< Name of the policy that chooses engines.
-  std::string service_policy_;  ///< Name of the policy that chooses plain upstreams.
+  std::shared_ptr<const serving_configuration> configuration_;  ///< Null until the first one is loaded.
+  std::string engine_policy_;                                   ///< Name of the policy that selects engines.
+  std::string service_policy_;  ///< Name of the policy that selects other upstreams.
   steady_clock clock_;
   gateway_limits limits_;
   account_freshness_limits freshness_limits_;
   account_usage usage_;
-  std::shared_ptr<configuration_freshness> freshness_;  ///< Needed where client accounts are told apart.
-  std::shared_ptr<allotment_policy> allotments_;        ///< None: no account is limited.
-  std::int64_t daemon_count_ =
-      1;  ///< Listed daemons, this one included: they share the upstreams' connections.
-  bool program_affinity_ = true;  ///< Turns of which nothing is kept prefer one upstream a program.
+  std::shared_ptr<configuration_freshness>
+      freshness_;                                 ///< Required if the configuration defines client accounts.
+  std::shared_ptr<allotment_policy> allotments_;  ///< Null if allotments are not enforced.
+  std::int64_t daemon_count_ = 1;                 ///< Daemons in the fleet, including this one.
+  bool program_affinity_ = true;  ///< Turns without stored history prefer one upstream per program.
   bool stopping_ = false;
-  int in_flight_ = 0;  ///< Requests that have no final answer yet.
+  int in_flight_ = 0;  ///< Requests in progress.
 };
 
-/// Answers with a typed failure. The answer says whether the request ran and when to come back.
+/// Responds with an error. The response says whether the request ran and when it may be retried.
 auto refuse(gateway_context& context, gateway_request& request, const error& reason) -> task<>;
 
 }  // namespace birchlever
--- a/birchlever/gateway/gateway_filter.h
+++ b/birchlever/gateway/gateway_filter.h
@@ -1,4 +1,4 @@
-/// One step of a request's way. A filter answers the request, or lets the next one go on, and may act after.
+/// Interface of the gateway's filters.
 #pragma once
 
 #include <functional>
@@ -8,15 +8,15 @@
 
 namespace birchlever {
 
-/// Runs the filters behind the present one.
+/// Runs the remaining filters of the chain.
 using next_filter = std::function<task<>(gateway_request&)>;
 
-/// What the gateway's chain is made of.
+/// A filter either responds to the request or calls the next filter, and may act again after that returned.
 class gateway_filter {
  public:
   virtual ~gateway_filter() = default;
 
-  /// Handles the request. Every request gets exactly one final answer from one filter of the chain.
+  /// Handles the request. Exactly one filter of the chain sends the final response.
   virtual auto apply(gateway_request& request, next_filter next) -> task<> = 0;
 };
 
--- a/birchlever/gateway/gateway_request.h
+++ b/birchlever/gateway/gateway_request.h
@@ -1,4 +1,4 @@
-/// One request on its way through the gateway's filters.
+/// The state of a request while it passes through the gateway's filters.
 #pragma once
 
 #include <functional>
@@ -11,41 +11,42 @@
 
 namespace birchlever {
 
-/// What was relayed of a stream.
+/// The part of a stream that was relayed to the caller.
 struct relayed_stream {
-  std::string output_;  ///< The data of each event, each followed by a line feed.
+  std::string output_;  ///< Data of the events, each terminated by a line feed.
   std::int64_t events_ = 0;
-  std::optional<std::int64_t> last_event_;  ///< The last one that the caller has, from earlier tries too.
-  bool whole_ = false;                      ///< The upstream's answer came to its end.
-  bool reached_upstream_ = false;           ///< Sent to an upstream, which may have run it.
-  bool upstream_broke_off_ = false;
+  std::optional<std::int64_t> last_event_;  ///< Last event sent to the caller by any attempt.
+  bool complete_ = false;                   ///< The response was received to its end.
+  bool reached_upstream_ = false;           ///< The request was sent and may have run.
+  bool interrupted_by_upstream_ = false;
   std::string upstream_;
 };
 
-/// The state of a request. Lives as long as its coroutine.
+/// Lives as long as the coroutine that serves the request.
 struct gateway_request {
   std::shared_ptr<server_connection> connection_;
   std::shared_ptr<const serving_configuration> configuration_;
   http_request message_;
-  request_metadata facts_;
-  const route* route_ = nullptr;             ///< Within configuration_.
-  const client_account* account_ = nullptr;  ///< Likewise; none on public routes and where there are none.
+  request_metadata metadata_;
+  const route* route_ = nullptr;             ///< Points into configuration_.
+  const client_account* account_ = nullptr;  ///< Points into configuration_; may be null.
   std::string service_;
-  std::string last_upstream_;                   ///< Where the previous turn ran.
-  std::string reservation_;                     ///< What the turn's budget is reserved under.
-  std::optional<std::int64_t> granted_tokens_;  ///< The caller must not get more; less than a turn may
-                                                ///< generate while the store is away.
+  std::string last_upstream_;                   ///< Upstream that ran the previous turn.
+  std::string reservation_;                     ///< Id of the reservation of the turn's budget.
+  std::optional<std::int64_t> granted_tokens_;  ///< Limit of tokens sent to the caller. Below the turn's
+                                                ///< maximum if the budget was not fully granted.
   milliseconds received_at_ = 0;
-  milliseconds due_ = 0;  ///< When the caller must have its final answer.
+  milliseconds deadline_ = 0;  ///< Time by which the final response must be sent.
   bool keep_alive_ = true;
-  bool answered_ = false;  ///< Something of an answer has gone out.
-  int final_status_ = 0;   ///< What the caller got; 0 while nothing.
+  bool response_started_ = false;  ///< Part of a response has been sent.
+  int final_status_ = 0;           ///< Status sent to the caller; 0 until then.
   relayed_stream relayed_;
 
-  /// Called with a whole stream before its end goes out. False: the end must not go out.
-  std::function<task<bool>(gateway_request&)> before_end_;
+  /// Called when a stream is complete, before its end is sent. If it yields false, the stream is aborted
+  /// instead.
+  std::function<task<bool>(gateway_request&)> before_stream_end_;
 
-  /// The name of the caller's account; empty without one.
+  /// Returns the name of the caller's account, or an empty string.
   [[nodiscard]] auto account_name() const -> std::string {
     return account_ == nullptr ? std::string{} : account_->name_;
   }
--- a/birchlever/gateway/gateway_server.cpp
+++ b/birchlever/gateway/gateway_server.cpp
@@ -14,16 +14,16 @@
 auto error_of(read_fault fault) -> error {
   switch (fault) {
     case read_fault::header_too_large:
-      return error{error_code::header_too_large, "the request's head is longer than allowed"};
+      return error{error_code::header_too_large, "request header exceeds the size limit"};
     case read_fault::body_too_large:
-      return error{error_code::body_too_large, "the request's body is longer than allowed"};
+      return error{error_code::body_too_large, "request body exceeds the size limit"};
     case read_fault::too_slow:
-      return error{error_code::request_too_slow, "the request did not come in time"};
+      return error{error_code::request_too_slow, "request was not received within the time limit"};
     case read_fault::closed:
     case read_fault::malformed:
       break;
   }
-  return error{error_code::malformed_request, "the request is not HTTP/1.1, or is ambiguous"};
+  return error{error_code::malformed_request, "malformed or ambiguous HTTP/1.1 request"};
 }
 
 }  // namespace
@@ -38,15 +38,15 @@
 
 auto gateway_server::create(std::shared_ptr<gateway_context> context, const std::string& address)
     -> result<std::shared_ptr<gateway_server>> {
-  auto made = std::shared_ptr<gateway_server>{new gateway_server{std::move(context)}};
-  auto listening = http_listener::create(*made->context_->loop_, address, [made](auto connection) {
-    return made->serve(std::move(connection));
+  auto server = std::shared_ptr<gateway_server>{new gateway_server{std::move(context)}};
+  auto listening = http_listener::create(*server->context_->loop_, address, [server](auto connection) {
+    return server->serve(std::move(connection));
   });
   if (!ok(listening)) {
     return failure(listening);
   }
-  made->listener_ = std::move(value(listening));
-  return made;
+  server->listener_ = std::move(value(listening));
+  return server;
 }
 
 auto gateway_server::stop_accepting() -> void {
@@ -58,15 +58,15 @@
 
 auto gateway_server::serve(std::shared_ptr<server_connection> connection) -> task<> {
   connections_.insert(connection);
-  auto keep = true;
-  while (keep) {
+  auto keep_open = true;
+  while (keep_open) {
     auto limits = context_->configuration_ ? context_->configuration_->limits_ : request_limits{};
     auto read = co_await connection->read_request(limits);
     if (auto* fault = std::get_if<read_fault>(&read)) {
-      co_await answer_fault(*connection, *fault);
+      co_await reject_unreadable(*connection, *fault);
       break;
     }
-    keep = co_await handle(connection, std::move(std::get<http_request>(read)));
+    keep_open = co_await handle(connection, std::move(std::get<http_request>(read)));
   }
   co_await connection->linger_and_close();
   connections_.erase(connection);
@@ -86,8 +86,8 @@
   if (request.account_ != nullptr) {
     context_->usage_.note(request.account_->name_, request.final_status_);
   }
-  auto held = context_->clock_.now() - request.received_at_;
-  context_->metrics_->observe("request_ms", static_cast<double>(held));
+  auto duration = context_->clock_.now() - request.received_at_;
+  context_->metrics_->observe("request_ms", static_cast<double>(duration));
   context_->metrics_->count("requests_total{status=\"" + std::to_string(request.final_status_) + "\"}");
   co_return request.keep_alive_;
 }
@@ -100,19 +100,19 @@
   co_await filters_[index]->apply(request, std::move(next));
 }
 
-auto gateway_server::answer_fault(server_connection& connection, read_fault fault) -> task<> {
+auto gateway_server::reject_unreadable(server_connection& connection, read_fault fault) -> task<> {
   if (fault == read_fault::closed) {
     co_return;
   }
   auto reason = error_of(fault);
-  auto answer = http_response{static_cast<http::status>(http_status_of(reason.code_)), 11};
-  answer.set(http::field::content_type, "application/json");
-  answer.keep_alive(false);
-  answer.body() = to_json_text(reason);
-  answer.prepare_payload();
+  auto response = http_response{static_cast<http::status>(http_status_of(reason.code_)), 11};
+  response.set(http::field::content_type, "application/json");
+  response.keep_alive(false);
+  response.body() = to_json_text(reason);
+  response.prepare_payload();
   context_->metrics_->count("unreadable_requests_total{fault=\"" + std::string{name_of(fault)} + "\"}");
   log_event(log_level::info, "request_unreadable", {{"fault", std::string{name_of(fault)}}});
-  co_await connection.write(std::move(answer));
+  co_await connection.write(std::move(response));
 }
 
 }  // namespace birchlever
--- a/birchlever/gateway/gateway_server.h
+++ b/birchlever/gateway/gateway_server.h
@@ -1,4 +1,4 @@
-/// Callers' connections: reads requests, runs each through the filters, keeps or closes the connection.
+/// The gateway's HTTP server for callers.
 #pragma once
 
 #include <memory>
@@ -11,17 +11,18 @@
 
 namespace birchlever {
 
-/// The callers' side of a gateway.
+/// Reads requests from callers' connections and runs each through the filter chain.
 class gateway_server : public std::enable_shared_from_this<gateway_server> {
  public:
-  /// Serves with the standard chain: route, account, allotment, turn, dispatch. Failures: invalid_setting.
+  /// Starts to serve with the filters route, account, allotment, turn and dispatch. Failures:
+  /// invalid_setting.
   static auto create(std::shared_ptr<gateway_context> context, const std::string& address)
       -> result<std::shared_ptr<gateway_server>>;
 
-  /// Takes no new connection and closes those that are idle; requests under way go on.
+  /// Stops accepting connections and closes idle ones. Requests in progress finish.
   auto stop_accepting() -> void;
 
-  /// Connections open now.
+  /// Returns the number of open connections.
   [[nodiscard]] auto connections() const -> std::size_t { return connections_.size(); }
 
  private:
@@ -30,7 +31,7 @@
   auto serve(std::shared_ptr<server_connection> connection) -> task<>;
   auto handle(std::shared_ptr<server_connection> connection, http_request message) -> task<bool>;
   auto run_filters(std::size_t index, gateway_request& request) -> task<>;
-  auto answer_fault(server_connection& connection, read_fault fault) -> task<>;
+  auto reject_unreadable(server_connection& connection, read_fault fault) -> task<>;
 
   std::shared_ptr<gateway_context> context_;
   std::vector<std::unique_ptr<gateway_filter>> filters_;
--- a/birchlever/gateway/gateway_settings.cpp
+++ b/birchlever/gateway/gateway_settings.cpp
@@ -16,7 +16,7 @@
   }
   auto parsed = parse_address(text);
   if (!ok(parsed)) {
-    faults.push_back({name, text, "is not ip:port"});
+    faults.push_back({name, text, "is not an address of the form ip:port"});
   }
 }
 
@@ -30,13 +30,13 @@
 
 auto check_level(std::vector<setting_fault>& faults, const std::string& level) -> void {
   if (level != "debug" && level != "info" && level != "warning" && level != "error") {
-    faults.push_back({"log_level", level, "is not debug, info, warning or error"});
+    faults.push_back({"log_level", level, "must be debug, info, warning or error"});
   }
 }
 
 auto check_allotments(std::vector<setting_fault>& faults, const std::string& text) -> void {
   if (text != "central" && text != "equal" && text != "off") {
-    faults.push_back({"allotments", text, "is not central, equal or off"});
+    faults.push_back({"allotments", text, "must be central, equal or off"});
   }
 }
 
@@ -48,33 +48,34 @@
 }
 
 template <class Number>
-auto check_range(std::vector<setting_fault>& faults, const char* name, Number given, Number least,
-                 Number most, const char* unit) -> void {
-  if (given >= least && given <= most) {
+auto check_range(std::vector<setting_fault>& faults, const char* name, Number actual, Number min, Number max,
+                 const char* unit) -> void {
+  if (actual >= min && actual <= max) {
     return;
   }
   auto reason = std::ostringstream{};
-  reason << "must be from " << least << " to " << most << ' ' << unit;
-  faults.push_back({name, std::to_string(given), reason.str()});
+  reason << "must be from " << min << " to " << max << ' ' << unit;
+  faults.push_back({name, std::to_string(actual), reason.str()});
 }
 
 }  // namespace
 
 auto parse_policy(const std::string& text) -> result<policy_settings> {
-  auto words = std::istringstream{text};
+  auto input = std::istringstream{text};
   auto kind_name = std::string{};
-  words >> kind_name;
+  input >> kind_name;
   auto kind = parse_policy_kind(kind_name);
   if (!ok(kind)) {
     return failure(kind);
   }
   auto settings = policy_settings{value(kind), {}};
-  for (auto word = std::string{}; words >> word;) {
+  for (auto word = std::string{}; input >> word;) {
     auto equals = word.find('=');
     auto number = 0.0;
-    auto digits = equals == std::string::npos ? std::string{} : word.substr(equals + 1);
-    auto parsed = std::from_chars(digits.data(), digits.data() + digits.size(), number);
-    if (digits.empty() || parsed.ec != std::errc{} || parsed.ptr != digits.data() + digits.size()) {
+    auto number_text = equals == std::string::npos ? std::string{} : word.substr(equals + 1);
+    auto parsed = std::from_chars(number_text.data(), number_text.data() + number_text.size(), number);
+    if (number_text.empty() || parsed.ec != std::errc{} ||
+        parsed.ptr != number_text.data() + number_text.size()) {
       return error{error_code::invalid_command, "'" + word + "' is not name=number"};
     }
     settings.parameters_[word.substr(0, equals)] = number;
@@ -89,7 +90,7 @@
 auto check_settings(const gateway_settings& settings) -> std::vector<setting_fault> {
   auto faults = std::vector<setting_fault>{};
   if (settings.data_hall_.empty()) {
-    faults.push_back({"data_hall", "", "must be given"});
+    faults.push_back({"data_hall", "", "is required"});
   }
   check_level(faults, settings.log_level_);
   check_address(faults, "store_address", settings.store_address_, false);
@@ -100,11 +101,11 @@
   check_policy_text(faults, "service_policy", settings.service_policy_);
   check_allotments(faults, settings.allotments_);
   check_hall_regions(faults, settings.hall_regions_);
-#define TEXT_SETTING(name, standard, purpose)
-#define REAL_SETTING(name, standard, least, most, unit, purpose) \
-  check_range<double>(faults, #name, settings.name##_, least, most, unit);
-#define NUMBER_SETTING(name, standard, least, most, unit, purpose) \
-  check_range<std::int64_t>(faults, #name, settings.name##_, least, most, unit);
+#define TEXT_SETTING(name, default_value, description)
+#define REAL_SETTING(name, default_value, min, max, unit, description) \
+  check_range<double>(faults, #name, settings.name##_, min, max, unit);
+#define NUMBER_SETTING(name, default_value, min, max, unit, description) \
+  check_range<std::int64_t>(faults, #name, settings.name##_, min, max, unit);
 #include "birchlever/gateway/gateway_settings.def"
 #undef TEXT_SETTING
 #undef REAL_SETTING
@@ -114,12 +115,12 @@
 
 auto describe_gateway_settings() -> std::string {
   auto text = std::ostringstream{};
-#define TEXT_SETTING(name, standard, purpose) \
-  text << "  --" #name " (text, default '" standard "'): " purpose "\n";
-#define REAL_SETTING(name, standard, least, most, unit, purpose) \
-  text << "  --" #name " (" unit ", " #least " to " #most ", default " #standard "): " purpose "\n";
-#define NUMBER_SETTING(name, standard, least, most, unit, purpose) \
-  text << "  --" #name " (" unit ", " #least " to " #most ", default " #standard "): " purpose "\n";
+#define TEXT_SETTING(name, default_value, description) \
+  text << "  --" #name " (text, default '" default_value "'): " description "\n";
+#define REAL_SETTING(name, default_value, min, max, unit, description) \
+  text << "  --" #name " (" unit ", " #min " to " #max ", default " #default_value "): " description "\n";
+#define NUMBER_SETTING(name, default_value, min, max, unit, description) \
+  text << "  --" #name " (" unit ", " #min " to " #max ", default " #default_value "): " description "\n";
 #include "birchlever/gateway/gateway_settings.def"
 #undef TEXT_SETTING
 #undef REAL_SETTING
--- a/birchlever/gateway/gateway_settings.h
+++ b/birchlever/gateway/gateway_settings.h
@@ -1,4 +1,4 @@
-/// The checked settings of a gateway daemon, from a flag file, flags and environment variables.
+/// Settings of a gateway daemon, from a flag file, flags and environment variables.
 #pragma once
 
 #include <cstdint>
@@ -10,28 +10,28 @@
 
 namespace birchlever {
 
-/// Every setting by name. Defaults, ranges and units are in gateway_settings.def.
+/// Defaults, ranges and units are in gateway_settings.def.
 struct gateway_settings {
   std::string vm_id_;
   std::string data_hall_;
   std::string store_address_;
   std::string log_level_ = "info";
-#define TEXT_SETTING(name, standard, purpose) std::string name##_ = standard;
-#define REAL_SETTING(name, standard, least, most, unit, purpose) double name##_ = standard;
-#define NUMBER_SETTING(name, standard, least, most, unit, purpose) std::int64_t name##_ = standard;
+#define TEXT_SETTING(name, default_value, description) std::string name##_ = default_value;
+#define REAL_SETTING(name, default_value, min, max, unit, description) double name##_ = default_value;
+#define NUMBER_SETTING(name, default_value, min, max, unit, description) std::int64_t name##_ = default_value;
 #include "birchlever/gateway/gateway_settings.def"
 #undef TEXT_SETTING
 #undef REAL_SETTING
 #undef NUMBER_SETTING
 };
 
-/// All faults of the settings at once; none when they are good.
+/// Returns all invalid settings, or an empty list.
 [[nodiscard]] auto check_settings(const gateway_settings& settings) -> std::vector<setting_fault>;
 
-/// The table of a gateway's settings as text for people, one line each.
+/// Returns a help text with one line per setting.
 [[nodiscard]] auto describe_gateway_settings() -> std::string;
 
-/// Reads a policy with its parameters: "kind name=number name=number". Failures: invalid_command.
+/// Parses a policy and its parameters from "kind name=number name=number". Failures: invalid_command.
 [[nodiscard]] auto parse_policy(const std::string& text) -> result<policy_settings>;
 
 }  // namespace birchlever
--- a/birchlever/gateway/hold_limit.cpp
+++ b/birchlever/gateway/hold_limit.cpp
@@ -5,18 +5,16 @@
 namespace birchlever {
 namespace {
 
-constexpr auto silence_margin_ms =
-    milliseconds{700};              // Until the first event: the way, the queue, the prompt.
-constexpr auto held_share = 0.625;  // Of a request's time. The rest holds a turn at a busy engine, some 0.5
-                                    // s, and its way, or the caller's way back.
+constexpr auto first_event_margin_ms = milliseconds{700};  // Reserved for network, queueing and prefill.
+constexpr auto max_hold_share = 0.625;  // Of the request's time limit. The rest is for the turn or a retry.
 
 }  // namespace
 
-auto stream_patience(const gateway_request& request, milliseconds least) -> milliseconds {
-  auto time = static_cast<double>(request.due_ - request.received_at_);
-  auto by_time = static_cast<milliseconds>(held_share * time);
-  auto by_silence = request.route_->longest_silence_ - silence_margin_ms;
-  return std::max(least, std::min(by_time, by_silence));
+auto max_stream_hold(const gateway_request& request, milliseconds min_hold) -> milliseconds {
+  auto time_limit = static_cast<double>(request.deadline_ - request.received_at_);
+  auto by_time_limit = static_cast<milliseconds>(max_hold_share * time_limit);
+  auto by_idle_timeout = request.route_->longest_silence_ - first_event_margin_ms;
+  return std::max(min_hold, std::min(by_time_limit, by_idle_timeout));
 }
 
 }  // namespace birchlever
--- a/birchlever/gateway/hold_limit.h
+++ b/birchlever/gateway/hold_limit.h
@@ -1,16 +1,12 @@
-/// How long a request may be held for the store before it is refused: as long as its caller bears, and so
-/// that enough of its time is left.
+/// Limits how long a request is held while the store is unavailable.
 #pragma once
 
 #include "birchlever/gateway/gateway_request.h"
 
 namespace birchlever {
 
-/// ms from its arrival for which a stream may wait for a store that is away. `least` is the setting for
-/// callers of which nothing is known.
-///
-/// Buys in an outage of 4.5 s for all, when callers bear 3.2 s of silence: 0.893 of the programs' worth
-/// against 0.879 with one second, since less of a caller's few tries is spent on the way.
-[[nodiscard]] auto stream_patience(const gateway_request& request, milliseconds least) -> milliseconds;
+/// Returns how long after its arrival a stream may wait for the store, in ms. The limit follows from the
+/// route's idle timeout and from the request's time limit, and is at least `min_hold`.
+[[nodiscard]] auto max_stream_hold(const gateway_request& request, milliseconds min_hold) -> milliseconds;
 
 }  // namespace birchlever
--- a/birchlever/gateway/request_dialect.h
+++ b/birchlever/gateway/request_dialect.h
@@ -1,4 +1,4 @@
-/// What a deployment's headers say, and what it wants to read in ours. The names live with the deployment.
+/// Interface between the gateway and the header names and formats of a deployment.
 #pragma once
 
 #include <cstdint>
@@ -12,55 +12,55 @@
 
 namespace birchlever {
 
-/// What a caller says of a request beside method, path and body.
+/// Request metadata from the caller's headers.
 struct request_metadata {
   std::string request_id_;
-  std::optional<milliseconds> time_left_;  ///< How long the caller waits.
-  std::string program_;                    ///< Empty for a request outside programs.
+  std::optional<milliseconds> time_left_;  ///< Time for which the caller waits.
+  std::string program_;                    ///< Empty if the request belongs to no program.
   std::string session_;
   std::optional<milliseconds> program_time_left_;
-  std::optional<std::int64_t> budget_;      ///< Tokens of the whole program.
-  std::optional<std::int64_t> last_event_;  ///< The caller has a stream up to this event, and wants the rest.
-  std::string previous_turn_;               ///< Empty at a start.
-  std::string key_digest_;  ///< SHA-256 of the caller's key, in hexadecimal; empty without one.
+  std::optional<std::int64_t> budget_;      ///< Token budget of the program.
+  std::optional<std::int64_t> last_event_;  ///< Last event that the caller received; it resumes after it.
+  std::string previous_turn_;               ///< Empty for the first turn.
+  std::string key_digest_;                  ///< Hexadecimal SHA-256 of the caller's key; empty without a key.
   std::string model_;
   std::int64_t prompt_tokens_ = 0;
-  std::int64_t max_tokens_ = 0;  ///< The most that is generated.
+  std::int64_t max_tokens_ = 0;  ///< Limit of generated tokens.
   std::vector<prompt_part> parts_;
 };
 
-/// What an upstream is told with a request.
+/// Values of the headers that the gateway adds to a request for an upstream.
 struct upstream_headers {
   milliseconds time_left_ = 0;
-  std::string expected_upstream_;           ///< Another server at the same address must refuse.
-  std::optional<std::int64_t> last_event_;  ///< The stream is to go on behind this event.
-  int urgency_ = 5;                         ///< 0 first, 9 last.
-  std::string account_;                     ///< Name of the caller's account; empty when it has none.
+  std::string expected_upstream_;           ///< Any other server at the address must reject the request.
+  std::optional<std::int64_t> last_event_;  ///< The stream resumes after this event.
+  int urgency_ = 5;                         ///< 0 (highest) to 9 (lowest).
+  std::string account_;                     ///< Name of the caller's account; may be empty.
 };
 
-/// What an upstream's answer says beside its status.
+/// Response metadata from an upstream's headers.
 struct response_metadata {
-  bool not_executed_ = false;
-  bool has_signature_ = false;  ///< Carries the upstream's proof that the answer is its own.
+  bool not_executed_ = false;   ///< The upstream did not run the request.
+  bool has_signature_ = false;  ///< Present, not verified.
   std::string request_id_;
 };
 
-/// What a deployment supplies: reading and writing its headers. No decisions.
+/// Reads and writes headers. Implemented per deployment.
 class request_dialect {
  public:
   virtual ~request_dialect() = default;
 
-  /// Reads a caller's headers. Failures: malformed_request, naming the header.
+  /// Reads a caller's headers. Failures: malformed_request, with the name of the header.
   [[nodiscard]] virtual auto read_request(const http_request& request) const -> result<request_metadata> = 0;
 
-  /// Removes what only the system may set, then sets it.
-  virtual auto set_upstream_headers(http_request& request, const upstream_headers& marks) const -> void = 0;
+  /// Removes the headers that are reserved for the gateway, then sets them.
+  virtual auto set_upstream_headers(http_request& request, const upstream_headers& headers) const -> void = 0;
 
   /// Reads an upstream's headers.
-  [[nodiscard]] virtual auto read_response(const http_response& answer) const -> response_metadata = 0;
+  [[nodiscard]] virtual auto read_response(const http_response& response) const -> response_metadata = 0;
 
-  /// Removes from an answer what is meant for us only.
-  virtual auto strip_response(http_response& answer) const -> void = 0;
+  /// Removes the headers that are meant for the gateway only.
+  virtual auto strip_response(http_response& response) const -> void = 0;
 };
 
 }  // namespace birchlever
--- a/birchlever/gateway/route_filter.h
+++ b/birchlever/gateway/route_filter.h
@@ -1,4 +1,4 @@
-/// Finds a request's route and service, and by when it must be answered.
+/// Selects the route, service and deadline of a request.
 #pragma once
 
 #include "birchlever/gateway/gateway_context.h"
@@ -6,7 +6,7 @@
 
 namespace birchlever {
 
-/// Answers 503 while no configuration is known, 404 only under a known one, 400 for unreadable headers.
+/// Responds with 503 while no configuration is loaded, 404 to an unknown route, and 400 to malformed headers.
 class route_filter final : public gateway_filter {
  public:
   explicit route_filter(std::shared_ptr<gateway_context> context) : context_{std::move(context)} {}
@@ -17,8 +17,7 @@
   std::shared_ptr<gateway_context> context_;
 };
 
-/// Finds a request's route and service in its configuration, and by when it must be answered. Failures:
-/// unknown_route.
+/// Sets the request's route, service and deadline from its configuration. Failures: unknown_route.
 auto resolve_route(gateway_request& request) -> status;
 
 }  // namespace birchlever
--- a/birchlever/gateway/turn_filter.cpp
+++ b/birchlever/gateway/turn_filter.cpp
@@ -8,40 +8,40 @@
 namespace birchlever {
 namespace {
 
-/// Tokens that were handed to the caller.
-auto tokens_of(const gateway_request& request) -> std::int64_t {
+/// Returns the number of tokens that were relayed to the caller.
+auto relayed_tokens(const gateway_request& request) -> std::int64_t {
   const auto* service = request.configuration_->find_service(request.service_);
   auto known = service != nullptr && service->engine_;
   auto tokens = request.relayed_.events_ * (known ? service->engine_->tokens_per_event_ : 1);
-  return std::min(tokens, std::max<std::int64_t>(request.facts_.max_tokens_, 0));
+  return std::min(tokens, std::max<std::int64_t>(request.metadata_.max_tokens_, 0));
 }
 
-/// A turn outside a program stands alone under its own id.
+/// Returns the program of a turn. A turn outside any program gets a program of its own.
 auto program_of(const gateway_request& request) -> owned_name {
-  const auto& facts = request.facts_;
-  auto name = facts.program_.empty() ? "single_" + facts.request_id_ : facts.program_;
+  const auto& metadata = request.metadata_;
+  auto name = metadata.program_.empty() ? "single_" + metadata.request_id_ : metadata.program_;
   return {request.account_name(), std::move(name)};
 }
 
-/// How long any turn may take; a program may go on through another route.
-auto longest_turn(const serving_configuration& configuration) -> milliseconds {
-  auto longest = milliseconds{0};
-  for (const auto& one : configuration.routes_) {
-    auto limit = one.time_limit_ > 0 ? one.time_limit_ : unlimited_ms;
-    longest = one.keeps_turns_ ? std::max(longest, limit) : longest;
+/// Returns the maximum duration of a turn on any route, since a program may use several routes.
+auto max_turn_duration(const serving_configuration& configuration) -> milliseconds {
+  auto max_duration = milliseconds{0};
+  for (const auto& candidate : configuration.routes_) {
+    auto limit = candidate.time_limit_ > 0 ? candidate.time_limit_ : default_time_limit_ms;
+    max_duration = candidate.keeps_turns_ ? std::max(max_duration, limit) : max_duration;
   }
-  return longest;
+  return max_duration;
 }
 
-auto turn_end_of(const gateway_request& request, const owned_name& program) -> turn_end {
+auto make_turn_end(const gateway_request& request, const owned_name& program) -> turn_end {
   auto ended = turn_end{};
   ended.program_ = program;
-  ended.turn_ = request.facts_.request_id_;
+  ended.turn_ = request.metadata_.request_id_;
   ended.reservation_ = request.reservation_;
-  ended.tokens_ = tokens_of(request);
-  ended.most_tokens_ = request.facts_.max_tokens_;
-  ended.budget_ = request.facts_.budget_;
-  ended.longest_turn_ = longest_turn(*request.configuration_);
+  ended.tokens_ = relayed_tokens(request);
+  ended.most_tokens_ = request.metadata_.max_tokens_;
+  ended.budget_ = request.metadata_.budget_;
+  ended.longest_turn_ = max_turn_duration(*request.configuration_);
   return ended;
 }
 
@@ -49,24 +49,24 @@
 
 auto turn_filter::apply(gateway_request& request, next_filter next) -> task<> {
   if (!request.route_->keeps_turns_) {
-    co_await run_unkept(request, std::move(next));
+    co_await run_without_history(request, std::move(next));
     co_return;
   }
   auto program = program_of(request);
   auto order = turn_order{program,
-                          request.facts_.request_id_,
-                          request.facts_.previous_turn_,
-                          request.facts_.budget_,
-                          request.facts_.max_tokens_,
+                          request.metadata_.request_id_,
+                          request.metadata_.previous_turn_,
+                          request.metadata_.budget_,
+                          request.metadata_.max_tokens_,
                           request.message_.body()};
   auto input = request.message_.body();
-  auto began = context_->clock_.now();
-  auto patient_until =
-      request.received_at_ + stream_patience(request, context_->freshness_limits_.min_stream_hold_ms_);
-  order.patience_ = std::max<milliseconds>(patient_until - began, 0);
-  order.late_ = request.facts_.program_time_left_ && *request.facts_.program_time_left_ <= 0;
-  auto granted = co_await context_->programs_->begin_turn(std::move(order), request.due_ - began);
-  context_->metrics_->observe("turn_begin_ms", static_cast<double>(context_->clock_.now() - began));
+  auto started_at = context_->clock_.now();
+  auto hold_until =
+      request.received_at_ + max_stream_hold(request, context_->freshness_limits_.min_stream_hold_ms_);
+  order.patience_ = std::max<milliseconds>(hold_until - started_at, 0);
+  order.late_ = request.metadata_.program_time_left_ && *request.metadata_.program_time_left_ <= 0;
+  auto granted = co_await context_->programs_->begin_turn(std::move(order), request.deadline_ - started_at);
+  context_->metrics_->observe("turn_begin_ms", static_cast<double>(context_->clock_.now() - started_at));
   if (!ok(granted)) {
     auto reason = failure(granted);
     co_await refuse(*context_, request, reason);
@@ -75,31 +75,32 @@
   request.message_.body() = std::move(value(granted).prompt_);
   request.last_upstream_ = std::move(value(granted).last_upstream_);
   request.reservation_ = std::move(value(granted).reservation_);
-  const auto& foreign = value(granted).foreign_history_;
-  auto kept =
-      turn_record{foreign.empty() ? request.facts_.previous_turn_ : std::string{}, foreign + input, "", ""};
-  request.before_end_ = [this, program, kept = std::move(kept)](gateway_request& ended) {
-    return keep_answer(ended, program, kept);
+  const auto& foreign_history = value(granted).foreign_history_;
+  auto record = turn_record{foreign_history.empty() ? request.metadata_.previous_turn_ : std::string{},
+                            foreign_history + input, "", ""};
+  request.before_stream_end_ = [this, program, record = std::move(record)](gateway_request& ended) {
+    return store_response(ended, program, record);
   };
   co_await next(request);
   if (!request.relayed_.reached_upstream_) {
     context_->programs_->cancel_turn(program, request.reservation_);
-  } else if (!request.relayed_.whole_) {
-    settle_broken(request, program);
+  } else if (!request.relayed_.complete_) {
+    settle_interrupted(request, program);
   }
 }
 
-auto turn_filter::run_unkept(gateway_request& request, next_filter next) -> task<> {
-  if (!request.facts_.budget_) {
+auto turn_filter::run_without_history(gateway_request& request, next_filter next) -> task<> {
+  if (!request.metadata_.budget_) {
     co_await next(request);
     co_return;
   }
   auto program = program_of(request);
-  auto most = request.facts_.max_tokens_;
-  auto order = turn_order{program, request.facts_.request_id_, "", request.facts_.budget_, most, ""};
-  auto began = context_->clock_.now();
-  auto drawn = co_await context_->programs_->draw_budget(std::move(order), request.due_ - began);
-  context_->metrics_->observe("turn_begin_ms", static_cast<double>(context_->clock_.now() - began));
+  auto max_tokens = request.metadata_.max_tokens_;
+  auto order =
+      turn_order{program, request.metadata_.request_id_, "", request.metadata_.budget_, max_tokens, ""};
+  auto started_at = context_->clock_.now();
+  auto drawn = co_await context_->programs_->draw_budget(std::move(order), request.deadline_ - started_at);
+  context_->metrics_->observe("turn_begin_ms", static_cast<double>(context_->clock_.now() - started_at));
   if (!ok(drawn)) {
     auto reason = failure(drawn);
     co_await refuse(*context_, request, reason);
@@ -107,38 +108,38 @@
   }
   request.granted_tokens_ = value(drawn);
   co_await next(request);
-  context_->programs_->give_back(program, value(drawn) - tokens_of(request));
+  context_->programs_->give_back(program, value(drawn) - relayed_tokens(request));
 }
 
-auto turn_filter::keep_answer(gateway_request& request, const owned_name& program, turn_record kept)
+auto turn_filter::store_response(gateway_request& request, const owned_name& program, turn_record record)
     -> task<bool> {
-  auto ended = turn_end_of(request, program);
-  kept.output_ = request.relayed_.output_;
-  kept.upstream_ = request.relayed_.upstream_;
-  ended.whole_ = std::move(kept);
-  auto began = context_->clock_.now();
-  auto stored = co_await context_->programs_->end_turn(std::move(ended), request.due_ - began);
-  context_->metrics_->observe("turn_end_ms", static_cast<double>(context_->clock_.now() - began));
+  auto ended = make_turn_end(request, program);
+  record.output_ = request.relayed_.output_;
+  record.upstream_ = request.relayed_.upstream_;
+  ended.whole_ = std::move(record);
+  auto started_at = context_->clock_.now();
+  auto stored = co_await context_->programs_->end_turn(std::move(ended), request.deadline_ - started_at);
+  context_->metrics_->observe("turn_end_ms", static_cast<double>(context_->clock_.now() - started_at));
   if (!ok(stored)) {
-    log_event(log_level::warning, "answer_not_kept",
-              {{"request", request.facts_.request_id_},
+    log_event(log_level::warning, "response_not_stored",
+              {{"request", request.metadata_.request_id_},
                {"program", program.name_},
                {"detail", failure(stored).detail_}});
   }
   co_return ok(stored);
 }
 
-auto turn_filter::settle_broken(gateway_request& request, const owned_name& program) -> void {
-  auto ended = turn_end_of(request, program);
+auto turn_filter::settle_interrupted(gateway_request& request, const owned_name& program) -> void {
+  auto ended = make_turn_end(request, program);
   auto programs = context_->programs_;
   auto settle = [](std::shared_ptr<program_store> store, turn_end end) -> task<> {
-    constexpr auto patience_ms = milliseconds{60000};
-    auto settled = co_await store->end_turn(std::move(end), patience_ms);
+    constexpr auto max_wait_ms = milliseconds{60000};
+    auto settled = co_await store->end_turn(std::move(end), max_wait_ms);
     if (!ok(settled)) {
-      log_failure(log_level::warning, "broken_turn_not_settled", failure(settled));
+      log_failure(log_level::warning, "interrupted_turn_not_settled", failure(settled));
     }
   };
-  start(*context_->loop_, "settle_broken", settle(programs, std::move(ended)));
+  start(*context_->loop_, "settle_interrupted", settle(programs, std::move(ended)));
 }
 
 }  // namespace birchlever
--- a/birchlever/gateway/turn_filter.h
+++ b/birchlever/gateway/turn_filter.h
@@ -1,5 +1,4 @@
-/// Turns of agent programs: history in front of the new input, budget before the send, answer kept before its
-/// end goes out.
+/// Handles the turns of agent programs: history, budget and storage of the response.
 #pragma once
 
 #include "birchlever/gateway/gateway_context.h"
@@ -10,8 +9,9 @@
 struct owned_name;
 struct turn_record;
 
-/// Turns of routes that keep them get their history and a reservation; others only their budget. Requests
-/// without a budget, of routes that keep no turns, pass unchanged.
+/// On routes that retain turns, prepends the history to the input, reserves budget, and stores the response
+/// before its end is sent. On other routes, draws from the budget if the request has one; else the request
+/// passes unchanged.
 class turn_filter final : public gateway_filter {
  public:
   explicit turn_filter(std::shared_ptr<gateway_context> context) : context_{std::move(context)} {}
@@ -19,9 +19,9 @@
   auto apply(gateway_request& request, next_filter next) -> task<> override;
 
  private:
-  auto run_unkept(gateway_request& request, next_filter next) -> task<>;
-  auto keep_answer(gateway_request& request, const owned_name& program, turn_record kept) -> task<bool>;
-  auto settle_broken(gateway_request& request, const owned_name& program) -> void;
+  auto run_without_history(gateway_request& request, next_filter next) -> task<>;
+  auto store_response(gateway_request& request, const owned_name& program, turn_record record) -> task<bool>;
+  auto settle_interrupted(gateway_request& request, const owned_name& program) -> void;
 
   std::shared_ptr<gateway_context> context_;
 };
--- a/birchlever/gateway/upstream_attempt.cpp
+++ b/birchlever/gateway/upstream_attempt.cpp
@@ -9,28 +9,29 @@
 namespace birchlever {
 namespace {
 
-constexpr auto any_age = milliseconds{3'600'000};  // A request that may run twice takes any kept connection.
-constexpr auto least_urgent = 9;                   // Upstreams know the ranks 0 to 9.
-constexpr auto ranks_within_account = 3;           // Three ranks of accounts with three of routes each.
-constexpr auto most_refusal_bytes = std::size_t{65536};
+constexpr auto unlimited_age = milliseconds{3'600'000};  // Repeatable requests may use any idle connection.
+constexpr auto lowest_urgency = 9;                       // Range of the urgency header: 0 to 9.
+constexpr auto ranks_per_account = 3;                    // Three account ranks of three route ranks each.
+constexpr auto max_refusal_bytes = std::size_t{65536};
 
 auto is_success(const http_response& head) -> bool {
   return http::to_status_class(head.result()) == http::status_class::successful;
 }
 
-/// Statuses that promise a caller that nothing ran; only a refusal that says so may carry them on.
-auto promises_not_run(unsigned status) -> bool {
+/// Returns true for statuses that tell a caller that the request did not run. They are relayed only if the
+/// upstream states so explicitly.
+auto implies_not_run(unsigned status) -> bool {
   return status == 429 || status == 503 || status == 408 || status == 421;
 }
 
-/// An account's rank goes before its route's; among requests of one rank the route's decides.
+/// Returns the urgency of a request. The account's rank takes precedence over the route's.
 auto urgency_of(const gateway_request& request) -> int {
-  auto route_rank = std::clamp(request.route_->rank_, 0, least_urgent);
+  auto route_rank = std::clamp(request.route_->rank_, 0, lowest_urgency);
   if (request.account_ == nullptr || !request.account_->rank_) {
     return route_rank;
   }
-  auto within = std::min(route_rank, ranks_within_account - 1);
-  return std::clamp(*request.account_->rank_ * ranks_within_account + within, 0, least_urgent);
+  auto within = std::min(route_rank, ranks_per_account - 1);
+  return std::clamp(*request.account_->rank_ * ranks_per_account + within, 0, lowest_urgency);
 }
 
 auto has_no_body(const http_response& head) -> bool {
@@ -39,51 +40,51 @@
 
 }  // namespace
 
-auto name_of(offer_outcome outcome) -> std::string_view {
+auto name_of(attempt_outcome outcome) -> std::string_view {
   constexpr auto names =
       std::array<std::string_view, 8>{"relayed", "not_reached", "refused_full", "refused",
                                       "unknown", "out_of_time", "broken_off",   "caller_gone"};
   return names.at(static_cast<std::size_t>(outcome));
 }
 
-auto upstream_offer::message() const -> std::shared_ptr<const http_request> {
+auto upstream_attempt::build_request() const -> std::shared_ptr<const http_request> {
   auto copy = std::make_shared<http_request>(request_->message_);
   remove_hop_by_hop(*copy);
-  auto marks = upstream_headers{};
-  marks.time_left_ =
-      std::max<milliseconds>(request_->due_ - context_->clock_.now() - context_->limits_.safety_ms_, 1);
-  marks.expected_upstream_ = target_->entry().id_;
-  marks.urgency_ = urgency_of(*request_);
-  marks.account_ = request_->account_name();
-  marks.last_event_ = request_->relayed_.last_event_;
-  context_->dialect_->set_upstream_headers(*copy, marks);
+  auto headers = upstream_headers{};
+  headers.time_left_ = std::max<milliseconds>(
+      request_->deadline_ - context_->clock_.now() - context_->limits_.deadline_margin_ms_, 1);
+  headers.expected_upstream_ = target_->entry().id_;
+  headers.urgency_ = urgency_of(*request_);
+  headers.account_ = request_->account_name();
+  headers.last_event_ = request_->relayed_.last_event_;
+  context_->dialect_->set_upstream_headers(*copy, headers);
   copy->version(11);
   copy->erase(http::field::expect);
-  auto had_length = request_->message_.has_content_length() || request_->message_.chunked();
+  auto has_length = request_->message_.has_content_length() || request_->message_.chunked();
   copy->erase(http::field::content_length);
-  if (had_length || !copy->body().empty()) {
+  if (has_length || !copy->body().empty()) {
     copy->content_length(copy->body().size());
   }
   return copy;
 }
 
-auto upstream_offer::judge(exchange_fault fault) const -> offer_outcome {
+auto upstream_attempt::classify(exchange_fault fault) const -> attempt_outcome {
   switch (fault) {
     case exchange_fault::not_connected:
-      return offer_outcome::not_reached;
+      return attempt_outcome::not_reached;
     case exchange_fault::timed_out:
-      return offer_outcome::out_of_time;
-    case exchange_fault::aborted:  // By a caller that left, or since the upstream has started again.
-      return request_->connection_->gone() ? offer_outcome::caller_gone : offer_outcome::unknown;
+      return attempt_outcome::out_of_time;
+    case exchange_fault::aborted:  // The caller disconnected or the upstream restarted.
+      return request_->connection_->gone() ? attempt_outcome::caller_gone : attempt_outcome::unknown;
     case exchange_fault::closed_unasked:
     case exchange_fault::broken:
     case exchange_fault::malformed:
       break;
   }
-  return offer_outcome::unknown;
+  return attempt_outcome::unknown;
 }
 
-auto upstream_offer::run() -> task<offer_outcome> {
+auto upstream_attempt::run() -> task<attempt_outcome> {
   auto refused = co_await send();
   if (refused) {
     co_return *refused;
@@ -94,79 +95,79 @@
   co_return outcome;
 }
 
-auto upstream_offer::send() -> task<std::optional<offer_outcome>> {
+auto upstream_attempt::send() -> task<std::optional<attempt_outcome>> {
   auto may_repeat = request_->route_->kind_ == route_kind::safe || request_->route_->resumable_;
-  auto most_idle = may_repeat ? any_age : context_->limits_.streaming_max_idle_ms_;
-  auto left = request_->due_ - context_->clock_.now();
+  auto max_idle = may_repeat ? unlimited_age : context_->limits_.streaming_max_idle_ms_;
+  auto remaining = request_->deadline_ - context_->clock_.now();
   auto address = target_->entry().address_;
-  auto taken = co_await context_->upstream_connections_->take(address, most_idle, left);
-  if (auto* fault = std::get_if<exchange_fault>(&taken)) {
-    co_return judge(*fault);
+  auto acquired = co_await context_->upstream_connections_->take(address, max_idle, remaining);
+  if (auto* fault = std::get_if<exchange_fault>(&acquired)) {
+    co_return classify(*fault);
   }
-  connection_ = std::get<0>(taken);
+  connection_ = std::get<0>(acquired);
   if (!target_->takes_requests() || request_->connection_->gone()) {
     context_->upstream_connections_->give_back(address, connection_);
-    co_return target_->takes_requests() ? offer_outcome::caller_gone : offer_outcome::refused;
+    co_return target_->takes_requests() ? attempt_outcome::caller_gone : attempt_outcome::refused;
   }
   request_->connection_->on_gone([connection = connection_] { connection->abort(); });
-  connection_->send(message(), request_->due_ - context_->clock_.now());
+  connection_->send(build_request(), request_->deadline_ - context_->clock_.now());
   request_->relayed_.reached_upstream_ = true;
   co_return std::nullopt;
 }
 
-auto upstream_offer::relay() -> task<offer_outcome> {
+auto upstream_attempt::relay() -> task<attempt_outcome> {
   auto address = target_->entry().address_;
   auto read = co_await connection_->read_head();
   if (auto* fault = std::get_if<exchange_fault>(&read)) {
     connection_->abort();
-    co_return judge(*fault);
+    co_return classify(*fault);
   }
   context_->upstreams_->answered(*target_, sent_at_);
   auto& head = std::get<http_response>(read);
-  auto facts = context_->dialect_->read_response(head);
-  if (facts.not_executed_) {
-    auto rest = co_await connection_->read_rest(most_refusal_bytes);
+  auto metadata = context_->dialect_->read_response(head);
+  if (metadata.not_executed_) {
+    auto rest = co_await connection_->read_rest(max_refusal_bytes);
     if (std::holds_alternative<exchange_fault>(rest)) {
       connection_->abort();
     } else {
       context_->upstream_connections_->give_back(address, connection_);
     }
     auto full = head.result_int() == 503 || head.result_int() == 429;
-    co_return full ? offer_outcome::refused_full : offer_outcome::refused;
+    co_return full ? attempt_outcome::refused_full : attempt_outcome::refused;
   }
-  auto ours = facts.request_id_ == request_->facts_.request_id_;
-  auto believable = is_success(head) ? facts.has_signature_ : !promises_not_run(head.result_int());
-  if (!ours || !believable) {
-    log_event(log_level::warning, "answer_not_ours",
-              {{"request", request_->facts_.request_id_},
+  auto id_matches = metadata.request_id_ == request_->metadata_.request_id_;
+  auto authentic = is_success(head) ? metadata.has_signature_ : !implies_not_run(head.result_int());
+  if (!id_matches || !authentic) {
+    log_event(log_level::warning, "response_not_authentic",
+              {{"request", request_->metadata_.request_id_},
                {"upstream", target_->entry().id_},
                {"status", std::int64_t{head.result_int()}},
-               {"answers", facts.request_id_},
-               {"proven", facts.has_signature_}});
+               {"answers", metadata.request_id_},
+               {"proven", metadata.has_signature_}});
     connection_->abort();
-    co_return offer_outcome::unknown;
+    co_return attempt_outcome::unknown;
   }
-  auto keep = connection_;
-  auto outcome = offer_outcome::relayed;
+  auto used_connection = connection_;
+  auto outcome = attempt_outcome::relayed;
   if (is_success(head) && request_->route_->kind_ == route_kind::streaming) {
     outcome = co_await relay_stream(std::move(head));
-  } else if (request_->answered_) {
-    outcome = offer_outcome::unknown;  // A failure can't follow the beginning of a stream.
+  } else if (request_->response_started_) {
+    outcome = attempt_outcome::unknown;  // A started stream cannot be followed by an error response.
   } else {
-    outcome = co_await relay_whole(std::move(head));
+    outcome = co_await relay_response(std::move(head));
   }
-  if (outcome == offer_outcome::relayed) {
-    context_->upstream_connections_->give_back(address, keep);
+  if (outcome == attempt_outcome::relayed) {
+    context_->upstream_connections_->give_back(address, used_connection);
   } else {
-    keep->abort();
+    used_connection->abort();
   }
   co_return outcome;
 }
 
-auto upstream_offer::relay_whole(http_response head) -> task<offer_outcome> {
-  auto rest = co_await connection_->read_rest(context_->limits_.most_answer_bytes_);
+auto upstream_attempt::relay_response(http_response head) -> task<attempt_outcome> {
+  auto rest = co_await connection_->read_rest(context_->limits_.max_response_bytes_);
   if (auto* fault = std::get_if<exchange_fault>(&rest)) {
-    co_return judge(*fault);
+    co_return classify(*fault);
   }
   remove_hop_by_hop(head);
   context_->dialect_->strip_response(head);
@@ -177,19 +178,19 @@
   }
   head.keep_alive(request_->keep_alive_ && !context_->stopping_);
   request_->keep_alive_ = head.keep_alive();
-  request_->answered_ = true;
+  request_->response_started_ = true;
   request_->final_status_ = static_cast<int>(head.result_int());
-  request_->relayed_.whole_ = is_success(head);
+  request_->relayed_.complete_ = is_success(head);
   request_->connection_->on_gone(nullptr);
   co_await request_->connection_->write(std::move(head));
-  co_return offer_outcome::relayed;
+  co_return attempt_outcome::relayed;
 }
 
-auto upstream_offer::take_events(std::string_view bytes, std::string& out) -> bool {
+auto upstream_attempt::append_events(std::string_view bytes, std::string& out) -> bool {
   auto& relayed = request_->relayed_;
   for (auto& event : events_.feed(bytes)) {
     auto gap = event.id_ && relayed.last_event_ && *event.id_ != *relayed.last_event_ + 1;
-    if (gap || beyond_grant()) {
+    if (gap || exceeds_grant()) {
       return false;
     }
     if (event.id_) {
@@ -203,33 +204,33 @@
   return true;
 }
 
-auto upstream_offer::beyond_grant() const -> bool {
+auto upstream_attempt::exceeds_grant() const -> bool {
   const auto& granted = request_->granted_tokens_;
-  if (!granted || *granted >= request_->facts_.max_tokens_) {
-    return false;  // The engine itself ends at the most.
+  if (!granted || *granted >= request_->metadata_.max_tokens_) {
+    return false;  // The engine enforces the maximum itself.
   }
   const auto* service = request_->configuration_->find_service(request_->service_);
-  auto known = service != nullptr && service->engine_;
-  auto tokens = known ? service->engine_->tokens_per_event_ : 1;
+  auto has_engine = service != nullptr && service->engine_;
+  auto tokens = has_engine ? service->engine_->tokens_per_event_ : 1;
   return (request_->relayed_.events_ + 1) * tokens > *granted;
 }
 
-auto upstream_offer::break_off(std::string_view reason, bool by_upstream) -> offer_outcome {
+auto upstream_attempt::record_interruption(std::string_view reason, bool by_upstream) -> attempt_outcome {
   auto gone = request_->connection_->gone();
-  request_->relayed_.upstream_broke_off_ = by_upstream && !gone;
+  request_->relayed_.interrupted_by_upstream_ = by_upstream && !gone;
   log_event(log_level::warning, "stream_broken_off",
-            {{"request", request_->facts_.request_id_},
-             {"program", request_->facts_.program_},
+            {{"request", request_->metadata_.request_id_},
+             {"program", request_->metadata_.program_},
              {"upstream", target_->entry().id_},
              {"events", request_->relayed_.events_},
              {"reason", std::string{reason}}});
   context_->metrics_->count("streams_broken_off_total{reason=\"" + std::string{reason} + "\"}");
-  return gone ? offer_outcome::caller_gone : offer_outcome::broken_off;
+  return gone ? attempt_outcome::caller_gone : attempt_outcome::broken_off;
 }
 
-auto upstream_offer::write_stream_head(http_response head) -> task<bool> {
-  if (request_->answered_) {
-    co_return true;  // The stream goes on: it keeps the head and the proof of its first upstream.
+auto upstream_attempt::write_stream_head(http_response head) -> task<bool> {
+  if (request_->response_started_) {
+    co_return true;  // A resumed stream keeps the header of its first upstream.
   }
   remove_hop_by_hop(head);
   context_->dialect_->strip_response(head);
@@ -237,16 +238,16 @@
   head.erase(http::field::content_length);
   head.keep_alive(request_->keep_alive_ && !context_->stopping_);
   request_->keep_alive_ = head.keep_alive();
-  request_->answered_ = true;
+  request_->response_started_ = true;
   request_->final_status_ = static_cast<int>(head.result_int());
   co_return co_await request_->connection_->write_head(std::move(head));
 }
 
-auto upstream_offer::relay_stream(http_response head) -> task<offer_outcome> {
+auto upstream_attempt::relay_stream(http_response head) -> task<attempt_outcome> {
   request_->relayed_.upstream_ = incarnation_of(target_->entry());
   auto head_written = co_await write_stream_head(std::move(head));
   if (!head_written) {
-    co_return break_off("caller_gone", false);
+    co_return record_interruption("caller_gone", false);
   }
   auto last = false;
   while (!last) {
@@ -254,42 +255,42 @@
     if (auto* fault = std::get_if<exchange_fault>(&read)) {
       auto broken = *fault == exchange_fault::broken || *fault == exchange_fault::malformed ||
                     *fault == exchange_fault::aborted;
-      co_return break_off(name_of(*fault), broken);
+      co_return record_interruption(name_of(*fault), broken);
     }
-    auto& piece = std::get<body_piece>(read);
-    last = piece.last_;
+    auto& chunk = std::get<body_piece>(read);
+    last = chunk.last_;
     auto out = std::string{};
-    auto in_order = take_events(piece.bytes_, out);
+    auto in_order = append_events(chunk.bytes_, out);
     auto written = true;
     if (!out.empty()) {
       written = co_await request_->connection_->write_piece(out);
     }
     if (!written) {
-      co_return break_off("caller_gone", false);
+      co_return record_interruption("caller_gone", false);
     }
     if (!in_order) {
-      auto beyond = beyond_grant();
-      co_return break_off(beyond ? "budget_not_granted" : "events_out_of_order", !beyond);
+      auto over_grant = exceeds_grant();
+      co_return record_interruption(over_grant ? "budget_not_granted" : "events_out_of_order", !over_grant);
     }
   }
   co_return co_await finish_stream();
 }
 
-auto upstream_offer::finish_stream() -> task<offer_outcome> {
+auto upstream_attempt::finish_stream() -> task<attempt_outcome> {
   if (events_.has_rest()) {
-    co_return break_off("event_not_whole", true);
+    co_return record_interruption("event_not_whole", true);
   }
-  request_->relayed_.whole_ = true;
-  request_->connection_->on_gone(nullptr);  // What is whole is kept even if the caller leaves now.
-  auto kept = true;
-  if (request_->before_end_) {
-    kept = co_await request_->before_end_(*request_);
+  request_->relayed_.complete_ = true;
+  request_->connection_->on_gone(nullptr);  // A complete stream is stored even if the caller disconnects.
+  auto stored = true;
+  if (request_->before_stream_end_) {
+    stored = co_await request_->before_stream_end_(*request_);
   }
-  if (!kept) {
-    co_return break_off("answer_not_kept", false);
+  if (!stored) {
+    co_return record_interruption("answer_not_kept", false);
   }
   co_await request_->connection_->write_end();
-  co_return offer_outcome::relayed;
+  co_return attempt_outcome::relayed;
 }
 
 }  // namespace birchlever
--- a/birchlever/gateway/upstream_attempt.h
+++ b/birchlever/gateway/upstream_attempt.h
@@ -1,4 +1,4 @@
-/// One request offered to one upstream: sent, judged, and its answer relayed if it is the upstream's own.
+/// One attempt to run a request on one upstream.
 #pragma once
 
 #include <memory>
@@ -11,46 +11,48 @@
 
 namespace birchlever {
 
-/// How an offer ended.
-enum class offer_outcome {
-  relayed,       ///< The caller has the whole answer, or a success that can't be taken back.
-  not_reached,   ///< No connection: surely not run.
-  refused_full,  ///< The upstream says that it did not run it.
-  refused,       ///< Likewise, for another reason than load.
-  unknown,       ///< It may have run; nothing went to the caller.
-  out_of_time,   ///< The deadline passed; it may have run.
-  broken_off,    ///< The stream ended midway; what came before is with the caller.
-  caller_gone,
+/// How an attempt ended.
+enum class attempt_outcome {
+  relayed,       ///< The response was relayed completely.
+  not_reached,   ///< No connection; not run.
+  refused_full,  ///< Rejected for lack of capacity; not run.
+  refused,       ///< Rejected for another reason; not run.
+  unknown,       ///< May have run; nothing was sent to the caller.
+  out_of_time,   ///< The deadline passed; may have run.
+  broken_off,    ///< The stream was interrupted after part of it was relayed.
+  caller_gone,   ///< The caller disconnected.
 };
 
-/// The stable name of an outcome.
-[[nodiscard]] auto name_of(offer_outcome outcome) -> std::string_view;
+/// Returns the name of an outcome in logs and metrics.
+[[nodiscard]] auto name_of(attempt_outcome outcome) -> std::string_view;
 
-/// Used once.
-class upstream_offer {
+/// Sends a request and relays the response if it comes from the expected upstream. Each object is used once.
+class upstream_attempt {
  public:
-  /// `sent_at` is what the directory named the request by.
-  upstream_offer(gateway_context& context, gateway_request& request, upstream& target, milliseconds sent_at)
+  /// `sent_at` identifies the request in the upstream directory.
+  upstream_attempt(gateway_context& context, gateway_request& request, upstream& target, milliseconds sent_at)
       : context_{&context}, request_{&request}, target_{&target}, sent_at_{sent_at} {}
 
-  /// Sends the request and relays its answer. When another start takes the upstream's place, what runs there
-  /// is lost, and this ends at once.
-  auto run() -> task<offer_outcome>;
+  /// Sends the request and relays the response. Ends at once if the upstream is replaced by a new
+  /// incarnation.
+  auto run() -> task<attempt_outcome>;
 
  private:
-  /// Connects and sends. Yields an outcome when that was not possible.
-  auto send() -> task<std::optional<offer_outcome>>;
-  auto relay() -> task<offer_outcome>;
-  auto message() const -> std::shared_ptr<const http_request>;
-  auto judge(exchange_fault fault) const -> offer_outcome;
-  auto relay_whole(http_response head) -> task<offer_outcome>;
+  /// Connects and sends the request. Yields an outcome if that failed.
+  auto send() -> task<std::optional<attempt_outcome>>;
+  auto relay() -> task<attempt_outcome>;
+  auto build_request() const -> std::shared_ptr<const http_request>;
+  auto classify(exchange_fault fault) const -> attempt_outcome;
+  auto relay_response(http_response head) -> task<attempt_outcome>;
   auto write_stream_head(http_response head) -> task<bool>;
-  auto relay_stream(http_response head) -> task<offer_outcome>;
-  auto take_events(std::string_view bytes, std::string& out) -> bool;
-  auto finish_stream() -> task<offer_outcome>;
-  /// True when one more event would hand out more than was granted, of a turn that got less than its most.
-  auto beyond_grant() const -> bool;
-  auto break_off(std::string_view reason, bool by_upstream) -> offer_outcome;
+  auto relay_stream(http_response head) -> task<attempt_outcome>;
+  auto append_events(std::string_view bytes, std::string& out) -> bool;
+  auto finish_stream() -> task<attempt_outcome>;
+
+  /// Returns true if another event would exceed the tokens granted to a turn, where these are below its
+  /// maximum.
+  auto exceeds_grant() const -> bool;
+  auto record_interruption(std::string_view reason, bool by_upstream) -> attempt_outcome;
 
   gateway_context* context_;
   gateway_request* request_;
--- a/birchlever/gateway/upstream_dispatch.h
+++ b/birchlever/gateway/upstream_dispatch.h
@@ -1,4 +1,4 @@
-/// The last filter: chooses an upstream, sends the request, relays the answer.
+/// The last filter of the chain: selects an upstream, sends the request and relays the response.
 #pragma once
 
 #include "birchlever/gateway/gateway_context.h"
@@ -8,7 +8,7 @@
 
 namespace birchlever {
 
-/// Sends again only what surely did not run, or what may run more than once.
+/// Retries a request on another upstream only if it did not run, or if it may run more than once.
 class upstream_dispatch final : public gateway_filter {
  public:
   explicit upstream_dispatch(std::shared_ptr<gateway_context> context) : context_{std::move(context)} {}
@@ -16,19 +16,21 @@
   auto apply(gateway_request& request, next_filter next) -> task<> override;
 
  private:
-  /// What the request's tries have come to.
-  struct tries {
-    int offers_ = 0;  ///< Upstreams asked.
-    int may_have_run_ = 0;
+  /// Attempts made for a request.
+  struct attempt_counts {
+    int attempts_ = 0;      ///< Upstreams tried.
+    int may_have_run_ = 0;  ///< Attempts that may have run.
   };
 
-  auto wish_of(const gateway_request& request) const -> upstream_wish;
-  auto policy_of(const gateway_request& request) const -> std::shared_ptr<const policy_interface>;
-  auto offer_to_upstreams(gateway_request& request, tries& so_far) -> task<offer_outcome>;
-  auto cut_stream(gateway_request& request) -> void;
-  auto try_once(gateway_request& request, upstream_wish& wish, tries& so_far) -> task<offer_outcome>;
-  auto may_go_on(const gateway_request& request, offer_outcome last, const tries& so_far) const -> bool;
-  static auto final_error(offer_outcome last, const tries& so_far) -> error;
+  auto make_criteria(const gateway_request& request) const -> upstream_wish;
+  auto policy_for(const gateway_request& request) const -> std::shared_ptr<const policy_interface>;
+  auto run_attempts(gateway_request& request, attempt_counts& counts) -> task<attempt_outcome>;
+  auto abort_stream(gateway_request& request) -> void;
+  auto attempt_once(gateway_request& request, upstream_wish& criteria, attempt_counts& counts)
+      -> task<attempt_outcome>;
+  auto may_retry(const gateway_request& request, attempt_outcome last, const attempt_counts& counts) const
+      -> bool;
+  static auto final_error(attempt_outcome last, const attempt_counts& counts) -> error;
 
   std::shared_ptr<gateway_context> context_;
 };
--- a/unit_tests/gateway/gateway_fixture.cpp
+++ b/unit_tests/gateway/gateway_fixture.cpp
@@ -12,20 +12,21 @@
 
 constexpr auto engine_service = "chat";
 constexpr auto tool_service = "tool";
-constexpr auto most_body = std::size_t{1U << 22U};
+constexpr auto max_body_bytes = std::size_t{1U << 22U};
 
-auto make_route(const std::string& prefix, route_kind kind, const std::string& service, bool keeps) -> route {
-  auto made = route{};
-  made.name_ = prefix;
-  made.host_ = "h.example";
-  made.path_prefix_ = prefix;
-  made.kind_ = kind;
-  made.services_ = {{service, 1}};
-  made.time_limit_ = 1500;
-  made.max_upstreams_ = 2;
-  made.keeps_turns_ = keeps;
-  made.retention_ = 60000;
-  return made;
+auto make_route(const std::string& prefix, route_kind kind, const std::string& service, bool retains_turns)
+    -> route {
+  auto created = route{};
+  created.name_ = prefix;
+  created.host_ = "h.example";
+  created.path_prefix_ = prefix;
+  created.kind_ = kind;
+  created.services_ = {{service, 1}};
+  created.time_limit_ = 1500;
+  created.max_upstreams_ = 2;
+  created.keeps_turns_ = retains_turns;
+  created.retention_ = 60000;
+  return created;
 }
 
 auto event_text(int number) -> std::string {
@@ -34,9 +35,9 @@
 
 }  // namespace
 
-auto header_of(const seen_request& seen, const std::string& name) -> std::string {
-  auto found = seen.headers_.find(name);
-  return found == seen.headers_.end() ? std::string{} : found->second;
+auto header_of(const received_request& received, const std::string& name) -> std::string {
+  auto found = received.headers_.find(name);
+  return found == received.headers_.end() ? std::string{} : found->second;
 }
 
 gateway_fixture::gateway_fixture()
@@ -76,7 +77,7 @@
         [this, name](auto connection) { return serve_upstream(name, std::move(connection)); });
     REQUIRE(ok(listening));
     upstreams_.push_back(value(listening));
-    list(name, std::string{name}.substr(0, 4) == "tool" ? tool_service : engine_service, port);
+    add_upstream(name, std::string{name}.substr(0, 4) == "tool" ? tool_service : engine_service, port);
   }
   address_ = "127.0.0.1:" + std::to_string(free_port(loop_));
   auto server = gateway_server::create(context_, address_);
@@ -86,14 +87,14 @@
 
 gateway_fixture::~gateway_fixture() {
   server_->stop_accepting();
-  for (const auto& one : upstreams_) {
-    one->stop();
+  for (const auto& listener : upstreams_) {
+    listener->stop();
   }
   run_for(20);
 }
 
-auto gateway_fixture::list(const std::string& id, const std::string& service, unsigned short port,
-                           bool leaving) -> void {
+auto gateway_fixture::add_upstream(const std::string& id, const std::string& service, unsigned short port,
+                                   bool leaving) -> void {
   auto entry = upstream_entry{};
   entry.id_ = id;
   entry.service_ = service;
@@ -104,10 +105,10 @@
   context_->upstreams_->put(std::move(entry));
 }
 
-auto gateway_fixture::take_accounts(std::vector<client_account> accounts) -> void {
-  auto book = account_book::create(std::move(accounts));
-  REQUIRE(ok(book));
-  configuration_.accounts_ = value(book);
+auto gateway_fixture::set_accounts(std::vector<client_account> accounts) -> void {
+  auto accounts_registry = account_book::create(std::move(accounts));
+  REQUIRE(ok(accounts_registry));
+  configuration_.accounts_ = value(accounts_registry);
   ++configuration_.version_;
   context_->configuration_ = std::make_shared<const serving_configuration>(configuration_);
 }
@@ -117,22 +118,22 @@
   loop_.run_for(std::chrono::milliseconds{duration});
 }
 
-auto gateway_fixture::play(script what, const http_request& request, server_connection& connection)
-    -> task<bool> {
+auto gateway_fixture::run_script(script script_to_run, const http_request& request,
+                                 server_connection& connection) -> task<bool> {
   auto id = std::string{field_of(request, "X-Request-Id")};
-  auto answer = http_response{static_cast<http::status>(what.status_), 11};
-  answer.set("X-Request-Id", what.kind_ == script::kind::wrong_id ? "another" : id);
-  if (what.kind_ != script::kind::no_proof) {
+  auto answer = http_response{static_cast<http::status>(script_to_run.status_), 11};
+  answer.set("X-Request-Id", script_to_run.kind_ == script::kind::wrong_id ? "another" : id);
+  if (script_to_run.kind_ != script::kind::no_proof) {
     answer.set("X-Response-Signature", "proof-of-" + id);
   }
   answer.keep_alive(true);
-  switch (what.kind_) {
+  switch (script_to_run.kind_) {
     case script::kind::refuse:
       answer.result(http::status::service_unavailable);
       answer.set("X-Not-Executed", "1");
       answer.erase("X-Response-Signature");
       break;
-    case script::kind::silence:
+    case script::kind::no_response:
       co_await pause_for(loop_, 3000);
       co_return false;
     case script::kind::reset:
@@ -150,13 +151,13 @@
       answer.set(http::field::content_type, "text/event-stream");
       co_await connection.write_head(std::move(answer));
       auto last = parse_count(field_of(request, "Last-Event-Id")).value_or(0);
-      for (auto number = static_cast<int>(last) + 1; number <= what.events_; ++number) {
-        auto skipped = what.kind_ == script::kind::skip_event && number == 2;
+      for (auto number = static_cast<int>(last) + 1; number <= script_to_run.events_; ++number) {
+        auto skipped = script_to_run.kind_ == script::kind::skip_event && number == 2;
         if (!skipped) {
           co_await connection.write_piece(event_text(number));
         }
       }
-      if (what.kind_ == script::kind::cut_stream) {
+      if (script_to_run.kind_ == script::kind::cut_stream) {
         co_await connection.write_piece("id: 9\ndata: ha");
         co_return false;
       }
@@ -175,63 +176,63 @@
 auto gateway_fixture::serve_upstream(std::string name, std::shared_ptr<server_connection> connection)
     -> task<> {
   auto limits = request_limits{};
-  auto keep = true;
-  while (keep) {
+  auto keep_open = true;
+  while (keep_open) {
     auto read = co_await connection->read_request(limits);
     auto* request = std::get_if<http_request>(&read);
     if (request == nullptr) {
       break;
     }
-    auto seen = seen_request{name, std::string{request->target()}, request->body(), {}};
+    auto received = received_request{name, std::string{request->target()}, request->body(), {}};
     for (const auto& field : *request) {
-      seen.headers_[std::string{field.name_string()}] = std::string{field.value()};
+      received.headers_[std::string{field.name_string()}] = std::string{field.value()};
     }
-    seen_.push_back(std::move(seen));
-    auto what = script{};
-    what.kind_ = name[0] == 'e' ? script::kind::stream : script::kind::answer;
+    seen_.push_back(std::move(received));
+    auto script_to_run = script{};
+    script_to_run.kind_ = name[0] == 'e' ? script::kind::stream : script::kind::answer;
     if (!scripts_.empty()) {
-      what = scripts_.front();
+      script_to_run = scripts_.front();
       scripts_.pop_front();
     }
-    keep = co_await play(what, *request, *connection);
+    keep_open = co_await run_script(script_to_run, *request, *connection);
   }
   connection->close();
 }
 
-auto gateway_fixture::exchange(http_request request) -> task<seen_answer> {
-  auto seen = seen_answer{};
+auto gateway_fixture::exchange(http_request request) -> task<received_response> {
+  auto received = received_response{};
   auto parsed = parse_address(address_);
   auto opened = co_await outgoing_connection::open(loop_, value(parsed), 500);
   if (std::holds_alternative<exchange_fault>(opened)) {
-    co_return seen;
+    co_return received;
   }
   auto connection = std::get<0>(opened);
   connection->send(std::make_shared<const http_request>(std::move(request)), 4000);
   auto head = co_await connection->read_head();
   if (std::holds_alternative<exchange_fault>(head)) {
-    co_return seen;
+    co_return received;
   }
   auto& answer = std::get<http_response>(head);
-  seen.status_ = static_cast<int>(answer.result_int());
+  received.status_ = static_cast<int>(answer.result_int());
   for (const auto& field : answer) {
-    seen.headers_[std::string{field.name_string()}] = std::string{field.value()};
+    received.headers_[std::string{field.name_string()}] = std::string{field.value()};
   }
   auto last = false;
-  while (!last && seen.body_.size() < most_body) {
+  while (!last && received.body_.size() < max_body_bytes) {
     auto read = co_await connection->read_piece();
     if (std::holds_alternative<exchange_fault>(read)) {
       break;
     }
-    seen.body_ += std::get<body_piece>(read).bytes_;
+    received.body_ += std::get<body_piece>(read).bytes_;
     last = std::get<body_piece>(read).last_;
   }
-  seen.whole_ = last;
+  received.complete_ = last;
   connection->abort();
-  co_return seen;
+  co_return received;
 }
 
-auto gateway_fixture::ask(const std::string& target, const std::map<std::string, std::string>& headers,
-                          const std::string& body) -> seen_answer {
+auto gateway_fixture::send(const std::string& target, const std::map<std::string, std::string>& headers,
+                           const std::string& body) -> received_response {
   auto request = http_request{body.empty() ? http::verb::get : http::verb::post, target, 11};
   request.set(http::field::host, "h.example");
   for (const auto& [name, content] : headers) {
@@ -241,33 +242,33 @@
   if (!body.empty()) {
     request.prepare_payload();
   }
-  auto seen = seen_answer{};
+  auto received = received_response{};
   auto done = false;
-  auto run = [](gateway_fixture& self, http_request sent, seen_answer& into, bool& finished) -> task<> {
+  auto run = [](gateway_fixture& self, http_request sent, received_response& into, bool& finished) -> task<> {
     into = co_await self.exchange(std::move(sent));
     finished = true;
   };
-  start(loop_, "ask", run(*this, std::move(request), seen, done));
+  start(loop_, "send", run(*this, std::move(request), received, done));
   auto clock = steady_clock{};
-  auto give_up = clock.now() + 6000;
+  auto timeout_at = clock.now() + 6000;
   loop_.restart();
-  while (!done && clock.now() < give_up) {
+  while (!done && clock.now() < timeout_at) {
     loop_.run_one_for(std::chrono::milliseconds{100});
   }
   REQUIRE(done);
-  return seen;
+  return received;
 }
 
 namespace {
 
-/// What came back on a connection that may outlive the call that opened it.
-struct heard_bytes {
+/// Bytes received on a connection that may outlive the call that opened it.
+struct received_bytes {
   std::string text_;
   bool done_ = false;
 };
 
-auto send_raw(event_loop& loop, std::string address, std::string sent, std::shared_ptr<heard_bytes> into)
-    -> task<> {
+auto exchange_bytes(event_loop& loop, std::string address, std::string sent,
+                    std::shared_ptr<received_bytes> into) -> task<> {
   auto parsed = parse_address(address);
   auto socket = asio::ip::tcp::socket{loop};
   auto code = boost::system::error_code{};
@@ -283,40 +284,41 @@
 
 }  // namespace
 
-auto gateway_fixture::ask_raw(const std::string& bytes, milliseconds quiet) -> std::string {
-  auto heard = std::make_shared<heard_bytes>();
-  start(loop_, "ask_raw", send_raw(loop_, address_, bytes, heard));
+auto gateway_fixture::send_bytes(const std::string& bytes, milliseconds idle_timeout) -> std::string {
+  auto reply = std::make_shared<received_bytes>();
+  start(loop_, "send_bytes", exchange_bytes(loop_, address_, bytes, reply));
   auto clock = steady_clock{};
-  auto quiet_until = clock.now() + quiet;
+  auto idle_deadline = clock.now() + idle_timeout;
   auto size = std::size_t{0};
   loop_.restart();
-  while (!heard->done_ && clock.now() < quiet_until) {
+  while (!reply->done_ && clock.now() < idle_deadline) {
     loop_.run_one_for(std::chrono::milliseconds{20});
-    if (heard->text_.size() != size) {
-      size = heard->text_.size();
-      quiet_until = clock.now() + quiet;
+    if (reply->text_.size() != size) {
+      size = reply->text_.size();
+      idle_deadline = clock.now() + idle_timeout;
     }
   }
-  return heard->text_;
+  return reply->text_;
 }
 
 auto gateway_fixture::turn(const std::string& id, const std::string& previous, const std::string& input,
-                           const std::string& program, std::int64_t budget, std::int64_t most)
-    -> seen_answer {
+                           const std::string& program, std::int64_t budget, std::int64_t max_tokens)
+    -> received_response {
   auto headers = std::map<std::string, std::string>{{"X-Request-Id", id},
                                                     {"X-Program-Id", program},
                                                     {"X-Session-Id", "s1"},
                                                     {"X-Deadline-Ms", "1500"},
                                                     {"X-Token-Budget", std::to_string(budget)},
-                                                    {"X-Token-Usage", "100," + std::to_string(most)}};
+                                                    {"X-Token-Usage", "100," + std::to_string(max_tokens)}};
   if (!previous.empty()) {
     headers["X-Previous-Turn"] = previous;
   }
-  return ask("/turn/x", headers, input);
+  return send("/turn/x", headers, input);
 }
 
-auto gateway_fixture::brief_turn(const std::string& id, std::int64_t budget,
-                                 const std::map<std::string, std::string>& more_headers) -> seen_answer {
+auto gateway_fixture::turn_without_history(const std::string& id, std::int64_t budget,
+                                           const std::map<std::string, std::string>& more_headers)
+    -> received_response {
   auto headers = std::map<std::string, std::string>{{"X-Request-Id", id},
                                                     {"X-Program-Id", "p2"},
                                                     {"X-Session-Id", "s2"},
@@ -324,7 +326,7 @@
                                                     {"X-Token-Budget", std::to_string(budget)},
                                                     {"X-Token-Usage", "100,40"}};
   headers.insert(more_headers.begin(), more_headers.end());
-  return ask("/brief/x", headers, "whole prompt");
+  return send("/brief/x", headers, "whole prompt");
 }
 
 }  // namespace birchlever::test
--- a/unit_tests/gateway/gateway_fixture.h
+++ b/unit_tests/gateway/gateway_fixture.h
@@ -1,4 +1,4 @@
-/// A gateway in the test's own process, before scripted upstreams and a store in memory, on one loop.
+/// A gateway with scripted upstreams and an in-memory store, all on one event loop of the test process.
 #pragma once
 
 #include <deque>
@@ -21,13 +21,13 @@
 
 namespace birchlever::test {
 
-/// What a scripted upstream does with one request.
+/// The behaviour of a scripted upstream for one request.
 struct script {
   enum class kind {
     answer,
     refuse,
     reset,
-    silence,
+    no_response,
     garbage,
     cut_body,
     stream,
@@ -41,69 +41,71 @@
   int status_ = 200;
 };
 
-/// A request as an upstream saw it.
-struct seen_request {
+/// A request as received by an upstream.
+struct received_request {
   std::string upstream_;
   std::string target_;
   std::string body_;
   std::map<std::string, std::string> headers_;
 };
 
-/// A header of a request, or an empty text.
-[[nodiscard]] auto header_of(const seen_request& seen, const std::string& name) -> std::string;
+/// Returns a header of a request, or an empty string.
+[[nodiscard]] auto header_of(const received_request& received, const std::string& name) -> std::string;
 
-/// An answer as a caller saw it.
-struct seen_answer {
-  int status_ = 0;  ///< 0: the connection ended without an answer.
-  bool whole_ = false;
+/// A response as received by a caller.
+struct received_response {
+  int status_ = 0;  ///< 0: the connection was closed without a response.
+  bool complete_ = false;
   std::string body_;
   std::map<std::string, std::string> headers_;
 };
 
-/// The gateway's surroundings.
+/// Owns the gateway and its dependencies.
 class gateway_fixture {
  public:
   gateway_fixture();
   ~gateway_fixture();
 
-  /// Sends one request on its own connection and runs the loop until it is answered.
-  auto ask(const std::string& target, const std::map<std::string, std::string>& headers,
-           const std::string& body) -> seen_answer;
+  /// Sends a request on a new connection and runs the loop until it is answered.
+  auto send(const std::string& target, const std::map<std::string, std::string>& headers,
+            const std::string& body) -> received_response;
 
-  /// Sends bytes as they are and yields all that comes back until the connection ends or `quiet` ms pass.
-  auto ask_raw(const std::string& bytes, milliseconds quiet = 300) -> std::string;
+  /// Sends raw bytes and returns all bytes received until the connection closes or none arrive for
+  /// `idle_timeout` ms.
+  auto send_bytes(const std::string& bytes, milliseconds idle_timeout = 300) -> std::string;
 
-  /// A turn of a program.
+  /// Sends a turn of a program on a route that retains turns.
   auto turn(const std::string& id, const std::string& previous, const std::string& input,
-            const std::string& program = "p1", std::int64_t budget = 1000, std::int64_t most = 40)
-      -> seen_answer;
+            const std::string& program = "p1", std::int64_t budget = 1000, std::int64_t max_tokens = 40)
+      -> received_response;
 
-  /// A turn of a program on a route that keeps nothing.
-  auto brief_turn(const std::string& id, std::int64_t budget = 1000,
-                  const std::map<std::string, std::string>& more_headers = {}) -> seen_answer;
+  /// Sends a turn of a program on a route that does not retain turns.
+  auto turn_without_history(const std::string& id, std::int64_t budget = 1000,
+                            const std::map<std::string, std::string>& more_headers = {}) -> received_response;
 
-  /// A newer configuration with these client accounts comes into force.
-  auto take_accounts(std::vector<client_account> accounts) -> void;
+  /// Applies a new configuration with these client accounts.
+  auto set_accounts(std::vector<client_account> accounts) -> void;
 
-  /// Runs the loop for a while.
+  /// Runs the loop for `duration` ms.
   auto run_for(milliseconds duration) -> void;
 
-  /// Lists an upstream that runs at `port`.
-  auto list(const std::string& id, const std::string& service, unsigned short port, bool leaving = false)
-      -> void;
+  /// Adds an upstream at a local port to the directory.
+  auto add_upstream(const std::string& id, const std::string& service, unsigned short port,
+                    bool leaving = false) -> void;
 
   event_loop loop_{1};
   std::shared_ptr<memory_row_store> rows_;
   std::shared_ptr<gateway_context> context_;
   std::shared_ptr<gateway_server> server_;
-  std::deque<script> scripts_;  ///< What the next requests meet; a plain answer or stream when empty.
-  std::vector<seen_request> seen_;
+  std::deque<script> scripts_;  ///< For the next requests; when empty, a normal response or stream.
+  std::vector<received_request> seen_;
   serving_configuration configuration_;
 
  private:
   auto serve_upstream(std::string name, std::shared_ptr<server_connection> connection) -> task<>;
-  auto play(script what, const http_request& request, server_connection& connection) -> task<bool>;
-  auto exchange(http_request request) -> task<seen_answer>;
+  auto run_script(script script_to_run, const http_request& request, server_connection& connection)
+      -> task<bool>;
+  auto exchange(http_request request) -> task<received_response>;
 
   std::vector<std::shared_ptr<http_listener>> upstreams_;
   std::string address_;
--- a/unit_tests/gateway/gateway_settings_test.cpp
+++ b/unit_tests/gateway/gateway_settings_test.cpp
@@ -1,11 +1,10 @@
-/// Every fault of a gateway's settings at once.
 #include "birchlever/gateway/gateway_settings.h"
 
 #include <catch2/catch.hpp>
 
 namespace birchlever {
 
-TEST_CASE("all faults of a gateway's settings are told together") {
+TEST_CASE("all invalid settings are reported together") {
   auto settings = gateway_settings{};
   settings.stop_grace_s_ = 0;
   settings.engine_policy_ = "program_aware speed=3";
@@ -18,7 +17,7 @@
                                             "readiness_address", "engine_policy", "stop_grace_s"});
 }
 
-TEST_CASE("a policy text names a kind and numbers") {
+TEST_CASE("a policy consists of a kind and numeric parameters") {
   REQUIRE(ok(parse_policy("program_aware prefill_rate=45000")));
   REQUIRE_FALSE(ok(parse_policy("")));
   REQUIRE_FALSE(ok(parse_policy("program_aware prefill_rate")));
--- a/unit_tests/gateway/gateway_stream_test.cpp
+++ b/unit_tests/gateway/gateway_stream_test.cpp
@@ -1,33 +1,33 @@
-/// Turns of which nothing is kept, and streams that go on at another upstream.
+/// Turns without stored history, and streams that resume on another upstream.
 #include <catch2/catch.hpp>
 
 #include "unit_tests/gateway/gateway_fixture.h"
 
 namespace birchlever::test {
-TEST_CASE("a route that keeps no turns holds programs to their budgets") {
+TEST_CASE("a route that does not retain turns enforces program budgets") {
   auto fixture = gateway_fixture{};
-  constexpr auto budget = std::int64_t{76};  // A turn hands out 12 of the 40 that it might.
+  constexpr auto budget = std::int64_t{76};  // A turn generates 12 tokens of its maximum of 40.
   auto served = 0;
-  while (fixture.brief_turn("b" + std::to_string(served), budget).status_ == 200) {
+  while (fixture.turn_without_history("b" + std::to_string(served), budget).status_ == 200) {
     ++served;
   }
-  CHECK(served == 4);  // 48 handed out; 28 left do not hold another turn's most.
-  CHECK(fixture.brief_turn("b-last", budget).status_ == 402);
+  CHECK(served == 4);  // 48 generated; the remaining 28 are below the maximum of a turn.
+  CHECK(fixture.turn_without_history("b-last", budget).status_ == 402);
   CHECK(static_cast<int>(fixture.seen_.size()) == served);
 }
 
-TEST_CASE("a turn of which nothing is kept runs in an outage of the store when its program drew before") {
+TEST_CASE("a turn without stored history runs during a store outage if its program drew budget before") {
   auto fixture = gateway_fixture{};
-  REQUIRE(fixture.brief_turn("b1").status_ == 200);
+  REQUIRE(fixture.turn_without_history("b1").status_ == 200);
   fixture.rows_->faults().down_ = true;
-  auto during = fixture.brief_turn("b2");
+  auto during = fixture.turn_without_history("b2");
   CHECK(during.status_ == 200);
-  CHECK(during.whole_);
+  CHECK(during.complete_);
 }
 
 namespace {
 
-const auto whole_stream =
+const auto complete_stream =
     std::string{"id: 1\ndata: e1\n\nid: 2\ndata: e2\n\nid: 3\ndata: e3\n\nid: 4\ndata: e4\n\n"};
 
 auto resumable_headers(const std::string& id) -> std::map<std::string, std::string> {
@@ -36,61 +36,61 @@
 
 }  // namespace
 
-TEST_CASE("a resumable stream that breaks goes on at another upstream behind the last whole event") {
+TEST_CASE("an interrupted resumable stream resumes on another upstream after the last complete event") {
   auto fixture = gateway_fixture{};
   fixture.scripts_ = {{script::kind::cut_stream, 2}, {script::kind::stream, 4}};
-  auto seen = fixture.ask("/resume/x", resumable_headers("r1"), "prompt");
-  CHECK(seen.whole_);
-  CHECK(seen.body_ == whole_stream);
+  auto response = fixture.send("/resume/x", resumable_headers("r1"), "prompt");
+  CHECK(response.complete_);
+  CHECK(response.body_ == complete_stream);
   REQUIRE(fixture.seen_.size() == 2);
   CHECK(header_of(fixture.seen_[0], "Last-Event-Id").empty());
   CHECK(header_of(fixture.seen_[1], "Last-Event-Id") == "2");
   CHECK(fixture.seen_[0].upstream_ != fixture.seen_[1].upstream_);
 }
 
-TEST_CASE("a stream that may not be resumed ends visibly incomplete") {
+TEST_CASE("an interrupted stream that is not resumable ends without its terminator") {
   auto fixture = gateway_fixture{};
   fixture.scripts_ = {{script::kind::cut_stream, 2}, {script::kind::stream, 4}};
-  auto seen = fixture.brief_turn("b1");
-  CHECK_FALSE(seen.whole_);
+  auto response = fixture.turn_without_history("b1");
+  CHECK_FALSE(response.complete_);
   CHECK(fixture.seen_.size() == 1);
 }
 
-TEST_CASE("a resumable stream runs on no more upstreams than its route allows") {
+TEST_CASE("a resumable stream is limited to the number of upstreams of its route") {
   auto fixture = gateway_fixture{};
   fixture.scripts_ = {
       {script::kind::cut_stream, 1}, {script::kind::cut_stream, 2}, {script::kind::stream, 4}};
-  auto seen = fixture.ask("/resume/x", resumable_headers("r1"), "prompt");
-  CHECK_FALSE(seen.whole_);
+  auto response = fixture.send("/resume/x", resumable_headers("r1"), "prompt");
+  CHECK_FALSE(response.complete_);
   CHECK(fixture.seen_.size() == 2);
-  CHECK(seen.body_ == whole_stream.substr(0, whole_stream.find("id: 3")));
+  CHECK(response.body_ == complete_stream.substr(0, complete_stream.find("id: 3")));
 }
 
-TEST_CASE("a resumable stream whose answer is lost before it began runs again") {
+TEST_CASE("a resumable stream whose response is lost before its start is retried") {
   auto fixture = gateway_fixture{};
   fixture.scripts_ = {{script::kind::reset}, {script::kind::stream, 4}};
-  auto seen = fixture.ask("/resume/x", resumable_headers("r1"), "prompt");
-  CHECK(seen.whole_);
-  CHECK(seen.body_ == whole_stream);
+  auto response = fixture.send("/resume/x", resumable_headers("r1"), "prompt");
+  CHECK(response.complete_);
+  CHECK(response.body_ == complete_stream);
 }
 
-TEST_CASE("a failure behind the beginning of a resumable stream is not joined to it") {
+TEST_CASE("an error response is not appended to a started resumable stream") {
   auto fixture = gateway_fixture{};
   fixture.scripts_ = {{script::kind::cut_stream, 2}, {script::kind::answer, 0, 500}};
-  auto seen = fixture.ask("/resume/x", resumable_headers("r1"), "prompt");
-  CHECK(seen.status_ == 200);
-  CHECK_FALSE(seen.whole_);
-  CHECK(seen.body_ == whole_stream.substr(0, whole_stream.find("id: 3")));
+  auto response = fixture.send("/resume/x", resumable_headers("r1"), "prompt");
+  CHECK(response.status_ == 200);
+  CHECK_FALSE(response.complete_);
+  CHECK(response.body_ == complete_stream.substr(0, complete_stream.find("id: 3")));
 }
 
-TEST_CASE("a caller that resumes gets the events behind its last one") {
+TEST_CASE("a caller that resumes receives the events after its last one") {
   auto fixture = gateway_fixture{};
   fixture.scripts_ = {{script::kind::cut_stream, 3}, {script::kind::stream, 4}};
   auto headers = resumable_headers("r1");
   headers["Last-Event-Id"] = "2";
-  auto seen = fixture.ask("/resume/x", headers, "prompt");
-  CHECK(seen.whole_);
-  CHECK(seen.body_ == whole_stream.substr(whole_stream.find("id: 3")));
+  auto response = fixture.send("/resume/x", headers, "prompt");
+  CHECK(response.complete_);
+  CHECK(response.body_ == complete_stream.substr(complete_stream.find("id: 3")));
   REQUIRE(fixture.seen_.size() == 2);
   CHECK(header_of(fixture.seen_[1], "Last-Event-Id") == "3");
 }
--- a/unit_tests/gateway/hold_limit_test.cpp
+++ b/unit_tests/gateway/hold_limit_test.cpp
@@ -1,4 +1,4 @@
-/// How long a stream is held for the store.
+/// Limits of how long a stream is held while the store is unavailable.
 #include "birchlever/gateway/hold_limit.h"
 
 #include <catch2/catch.hpp>
@@ -6,30 +6,30 @@
 namespace birchlever {
 namespace {
 
-auto patience_of(milliseconds time, milliseconds silence) -> milliseconds {
-  auto taken = route{};
-  taken.longest_silence_ = silence;
+auto hold_of(milliseconds time_limit, milliseconds idle_timeout) -> milliseconds {
+  auto tested_route = route{};
+  tested_route.longest_silence_ = idle_timeout;
   auto request = gateway_request{};
-  request.route_ = &taken;
+  request.route_ = &tested_route;
   request.received_at_ = 100;
-  request.due_ = 100 + time;
-  constexpr auto least = milliseconds{1000};
-  return stream_patience(request, least);
+  request.deadline_ = 100 + time_limit;
+  constexpr auto min_hold = milliseconds{1000};
+  return max_stream_hold(request, min_hold);
 }
 
 }  // namespace
 
-TEST_CASE("a stream waits for the store as long as its caller bears silence, less what an answer takes") {
-  CHECK(patience_of(4000, 3200) == 2500);
-  CHECK(patience_of(5000, 2000) == 1300);
+TEST_CASE("a stream is held for the idle timeout less the time to the first event") {
+  CHECK(hold_of(4000, 3200) == 2500);
+  CHECK(hold_of(5000, 2000) == 1300);
 }
 
-TEST_CASE("a stream does not wait until nothing of its time is left") {
-  CHECK(patience_of(4000, 8000) == 2500);
+TEST_CASE("a stream is held for a share of its time limit at most") {
+  CHECK(hold_of(4000, 8000) == 2500);
 }
 
-TEST_CASE("where nothing is known of callers the setting holds") {
-  CHECK(patience_of(4000, 0) == 1000);
+TEST_CASE("without an idle timeout the minimum applies") {
+  CHECK(hold_of(4000, 0) == 1000);
 }
 
 }  // namespace birchlever
