--- a/birchlever/coordination/budget_account.cpp
+++ b/birchlever/coordination/budget_account.cpp
@@ -8,10 +8,10 @@
 namespace birchlever {
 
 auto budget_account::remaining() const -> std::int64_t {
-  return budget_ - promised();
+  return budget_ - committed();
 }
 
-auto budget_account::begin(std::int64_t cost) -> bool {
+auto budget_account::commit(std::int64_t cost) -> bool {
   if (cost > remaining()) {
     return false;
   }
@@ -28,14 +28,14 @@
   if (covered()) {
     return std::nullopt;
   }
-  return std::min(budget_, promised() + slice);
+  return std::min(budget_, committed() + slice);
 }
 
 auto budget_account::covered() const -> bool {
-  return promised() <= reserved_;
+  return committed() <= reserved_;
 }
 
-auto budget_account::reserved_durably(std::int64_t reserved) -> void {
+auto budget_account::record_reservation(std::int64_t reserved) -> void {
   reserved_ = std::max(reserved_, reserved);
 }
 
--- a/birchlever/coordination/budget_account.h
+++ b/birchlever/coordination/budget_account.h
@@ -1,4 +1,4 @@
-/// One program's budget, spent from slices that are durable before anything is spent from them.
+/// Token budget of one program. Reservations are made durable in slices before their tokens are spent.
 #pragma once
 
 #include <cstdint>
@@ -6,45 +6,45 @@
 
 namespace birchlever {
 
-/// Counts tokens. Invariant: settled + in flight + held <= budget, and nothing is dispatched unless that sum
-/// is within the durable reservation. After a takeover all that was reserved but not settled is held, since
-/// calls of the earlier epoch may have spent it.
+/// Counts tokens. Invariants: settled + in flight + held <= budget, and no call is dispatched unless that sum
+/// is within the durable reservation. After a takeover all tokens that are reserved but not settled are held,
+/// since calls of the previous epoch may have spent them.
 class budget_account {
  public:
   budget_account() = default;
 
-  /// An account of a new program.
   explicit budget_account(std::int64_t budget) : budget_{budget} {}
 
-  /// Tokens that could still be promised to a call.
+  /// Returns the tokens that can still be committed to calls.
   [[nodiscard]] auto remaining() const -> std::int64_t;
 
-  /// Promises the cost to a call. False when the budget does not allow it.
-  auto begin(std::int64_t cost) -> bool;
+  /// Commits tokens for the cost of a call. Returns false if it exceeds the remaining budget.
+  auto commit(std::int64_t cost) -> bool;
 
-  /// Takes a promise back; nothing was spent.
+  /// Reverts the commitment for a call that spent nothing.
   auto cancel(std::int64_t cost) -> void;
 
-  /// The reservation to make durable before the promises made so far may be spent, with a slice ahead;
-  /// empty when the durable reservation covers them.
+  /// Returns the reservation to make durable before the committed tokens may be spent, including one slice
+  /// ahead; empty if the durable reservation covers them.
   [[nodiscard]] auto needed_reservation(std::int64_t slice) const -> std::optional<std::int64_t>;
 
-  /// True when the durable reservation covers every promise made.
+  /// Returns true if the durable reservation covers all committed tokens.
   [[nodiscard]] auto covered() const -> bool;
 
-  /// A higher reservation became durable.
-  auto reserved_durably(std::int64_t reserved) -> void;
+  /// Records a reservation that became durable; lower values are ignored.
+  auto record_reservation(std::int64_t reserved) -> void;
 
-  /// A call that was promised `cost` in this epoch spent `tokens`.
+  /// Settles a call of this epoch that `cost` was committed for and that spent `tokens`.
   auto settle(std::int64_t cost, std::int64_t tokens) -> void;
 
-  /// A call of an earlier epoch that could have spent `cost` reports that it spent `tokens`.
+  /// Settles a call of an earlier epoch that could have spent `cost` and spent `tokens`.
   auto settle_held(std::int64_t cost, std::int64_t tokens) -> void;
 
-  /// Spending read from the journal during recovery.
+  /// Adds tokens read from the journal during recovery.
   auto recover_settled(std::int64_t tokens) -> void { settled_ += tokens; }
 
-  /// Ends recovery: what was reserved and not settled may have been spent by calls no one answers for.
+  /// Ends recovery: holds the tokens that are reserved but not settled, since calls of earlier epochs may
+  /// have spent them.
   auto hold_unsettled() -> void;
 
   [[nodiscard]] auto budget() const -> std::int64_t { return budget_; }
@@ -54,7 +54,7 @@
   [[nodiscard]] auto in_flight() const -> std::int64_t { return in_flight_; }
 
  private:
-  [[nodiscard]] auto promised() const -> std::int64_t { return settled_ + in_flight_ + held_; }
+  [[nodiscard]] auto committed() const -> std::int64_t { return settled_ + in_flight_ + held_; }
 
   std::int64_t budget_ = 0;
   std::int64_t reserved_ = 0;
--- a/birchlever/coordination/budget_peers.h
+++ b/birchlever/coordination/budget_peers.h
@@ -1,4 +1,4 @@
-/// Other daemons as holders of budgets that they drew in advance.
+/// Requests for budget tokens that other daemons drew in advance.
 #pragma once
 
 #include <cstdint>
@@ -9,29 +9,29 @@
 
 namespace birchlever {
 
-/// What daemons handed over of a program's budget.
+/// Tokens of a program's budget that other daemons transferred to this one.
 struct handed_tokens {
   std::int64_t tokens_ = 0;
-  std::vector<std::string> moved_to_;  ///< Daemons that got tokens of the program from those asked.
-  bool unaccounted_ = false;           ///< Some holder was not reached, or was started anew since it drew.
+  std::vector<std::string> moved_to_;  ///< Daemons to which the queried holders transferred tokens before.
+  bool unaccounted_ = false;           ///< A holder was unreachable, or has restarted since it drew.
 };
 
-/// Supplied by the daemon; program_store asks it when it is short of a program's budget.
+/// Implemented by the daemon. Used by program_store when its drawn tokens of a program do not suffice.
 class budget_peers {
  public:
   virtual ~budget_peers() = default;
 
-  /// Asks each of the holders for so many tokens, or whoever is near when no holder is known.
+  /// Requests the given number of tokens from each holder, or from nearby daemons if `holders` is empty.
   virtual auto ask(std::string program_key, std::vector<std::string> holders, std::int64_t tokens)
       -> task<handed_tokens> = 0;
 
-  /// Asks a daemon for a reservation that it holds for the program's next turn. True when it gave it away:
-  /// then it is ours, and nobody else will use it.
+  /// Requests a reservation that another daemon holds for the program's next turn. Returns true if the holder
+  /// transferred it; no other daemon uses it from then on.
   virtual auto take_lease(std::string program_key, std::string reservation, std::string holder)
       -> task<bool> = 0;
 
-  /// Asks the daemon that may let this program go beyond its budget for one turn's most, which it gives a
-  /// program once. Yields 0 when it does not, or is not known.
+  /// Requests the program's one-time allowance from the daemon that holds its range (see allowance_ranges).
+  /// Returns the tokens granted, 0 if there are none or the daemon is unknown.
   virtual auto ask_allowance(std::string program_key, std::int64_t tokens) -> task<std::int64_t> = 0;
 };
 
--- a/birchlever/coordination/conflict_pause.h
+++ b/birchlever/coordination/conflict_pause.h
@@ -1,29 +1,24 @@
-/// How long to wait after a change lost against another one of the same rows, before it is tried again.
+/// Backoff after a write conflict with another change of the same rows.
 ///
-/// Changes of one part are made one after the other. When many daemons change one program and each tries
-/// again at once, all but one of the tries that wait there are lost before they are looked at; the wait grows
-/// to the longest that the store allows, and then one change a second is made, whatever the part could make.
-/// Pauses that grow with the losses and with the wait itself let the queue run dry.
-///
-/// In the model of one part (150 changes a second, a fifth of that asked for) 50 changes of one program at
-/// one moment left the part with 0.66 of its callers served in time for good; with pauses all are, three
-/// seconds on.
+/// The store makes the changes of one partition sequentially. If many daemons change one program and retry
+/// immediately, all but one of the queued attempts conflict, and the queue stays full. A backoff that grows
+/// with the number of conflicts and with the latency of the attempt lets the queue drain.
 #pragma once
 
 #include "birchlever/core/clock.h"
 
 namespace birchlever {
 
-/// Times in ms.
+/// Settings of the backoff. Times in ms.
 struct conflict_pause_settings {
-  int free_conflicts_ = 1;       ///< The first conflict only shows that the record was old.
-  milliseconds shortest_ = 20;   ///< One change and its answer, about.
-  milliseconds longest_ = 4000;  ///< Callers wait about so long for a turn's end.
+  int free_conflicts_ = 1;  ///< Conflicts without backoff; the first only shows that the record was stale.
+  milliseconds shortest_ = 20;   ///< Minimum; about one round trip to the store.
+  milliseconds longest_ = 4000;  ///< Maximum; about as long as callers wait for the end of a turn.
 };
 
-/// The longest pause after so many conflicts in a row, the last of which took `took` ms to be told; 0: none.
-/// The caller draws the pause between half of it and all of it.
-[[nodiscard]] auto longest_conflict_pause(int conflicts, milliseconds took,
+/// Returns the maximum backoff in ms after a number of consecutive conflicts, the last of which was reported
+/// after `latency` ms; 0 for no backoff. The caller picks a random delay between half of it and all of it.
+[[nodiscard]] auto longest_conflict_pause(int conflicts, milliseconds latency,
                                           const conflict_pause_settings& settings = {}) -> milliseconds;
 
 }  // namespace birchlever
--- a/birchlever/coordination/program_ledger.cpp
+++ b/birchlever/coordination/program_ledger.cpp
@@ -219,7 +219,7 @@
     return *over;
   }
   auto cost = cost_of(owner, order);
-  if (!owner.budget_.begin(cost)) {
+  if (!owner.budget_.commit(cost)) {
     return refuse(error_code::budget_exhausted, call_name(order) + " could spend " + std::to_string(cost) +
                                                     " tokens; " + std::to_string(owner.budget_.remaining()) +
                                                     " remain of " + std::to_string(owner.budget_.budget()));
--- a/birchlever/coordination/program_ledger_settle.cpp
+++ b/birchlever/coordination/program_ledger_settle.cpp
@@ -187,7 +187,7 @@
   }
   owner.durable_ = true;
   owner.last_active_ = now;
-  owner.budget_.reserved_durably(record.reserved_);
+  owner.budget_.record_reservation(record.reserved_);
 }
 
 auto program_ledger::apply_intended(program& owner, const journal_record& record) -> void {
@@ -208,7 +208,7 @@
 
 auto program_ledger::apply_answered(program& owner, const journal_record& record, milliseconds now) -> void {
   settle_budget(owner, record);
-  owner.budget_.reserved_durably(record.reserved_);
+  owner.budget_.record_reservation(record.reserved_);
   auto& call = owner.calls_[record.number_];
   if (call.phase_ == call_phase::answered) {
     return;  // The first answer stands.
@@ -256,7 +256,7 @@
     case record_kind::program_opened:
       break;
     case record_kind::budget_reserved:
-      owner->budget_.reserved_durably(record.reserved_);
+      owner->budget_.record_reservation(record.reserved_);
       break;
     case record_kind::call_intended:
       apply_intended(*owner, record);
--- a/birchlever/coordination/program_ledger_snapshot.cpp
+++ b/birchlever/coordination/program_ledger_snapshot.cpp
@@ -142,7 +142,7 @@
       owner.id_ = id;
       owner.policy_ = body.at("po");
       owner.budget_ = budget_account{body.at("b").get<std::int64_t>()};
-      owner.budget_.reserved_durably(body.at("r").get<std::int64_t>());
+      owner.budget_.record_reservation(body.at("r").get<std::int64_t>());
       owner.budget_.recover_settled(body.at("s").get<std::int64_t>());
       owner.durable_ = true;
       owner.ended_ = body.at("x");
--- a/unit_tests/coordination/allowance_ranges_test.cpp
+++ b/unit_tests/coordination/allowance_ranges_test.cpp
@@ -1,4 +1,4 @@
-/// Ranges of allowances: one holder, takeover only after all programs of its time have ended.
+/// Guards against two daemons granting an allowance to the same program, also across a takeover of its range.
 #include "birchlever/coordination/allowance_ranges.h"
 
 #include <catch2/catch.hpp>
@@ -9,8 +9,8 @@
 namespace birchlever {
 namespace {
 
-constexpr auto lease = milliseconds{150};
-constexpr auto life = milliseconds{200};
+constexpr auto lease_duration = milliseconds{150};
+constexpr auto program_lifetime = milliseconds{200};
 constexpr auto turn_tokens = std::int64_t{40};
 
 struct ranges_fixture {
@@ -18,25 +18,25 @@
     auto settings = allowance_settings{};
     settings.daemon_ = name;
     settings.ranges_ = 2;
-    settings.lease_ = lease;
-    settings.renewed_left_ = lease / 2;
-    settings.look_gap_ = 3'600'000;  // The tests look themselves.
-    settings.retry_gap_ = settings.look_gap_;
+    settings.lease_ = lease_duration;
+    settings.renewal_threshold_ = lease_duration / 2;
+    settings.look_gap_ = 3'600'000;  // Disables polling in the background; the tests poll explicitly.
+    settings.retry_interval_ = settings.look_gap_;
     settings.call_limit_ = 50;
-    auto made = value(allowance_ranges::create(
-        loop_, rows_, settings, [](std::string_view) { return true; }, [] { return life; }));
-    look(*made);
-    return made;
+    auto created = value(allowance_ranges::create(
+        loop_, rows_, settings, [](std::string_view) { return true; }, [] { return program_lifetime; }));
+    look(*created);
+    return created;
   }
 
   auto look(allowance_ranges& daemon) -> bool { return run_to_end(loop_, daemon.look()); }
 
   auto release(allowance_ranges& daemon) -> void {
-    auto let_go = [](allowance_ranges& ranges) -> task<bool> {
+    auto release_ranges = [](allowance_ranges& ranges) -> task<bool> {
       co_await ranges.release();
       co_return true;
     };
-    run_to_end(loop_, let_go(daemon));
+    run_to_end(loop_, release_ranges(daemon));
   }
 
   event_loop loop_{1};
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-TEST_CASE("the holder of a range gives a program one turn's most, once, also while the store is away") {
+TEST_CASE("the holder of a range grants a program one allowance, also during a store outage") {
   auto fixture = ranges_fixture{};
   auto holder = fixture.start_daemon("vm-1@1");
   fixture.rows_->faults().down_ = true;
@@ -55,7 +55,7 @@
   CHECK(holder->give("q", turn_tokens) == turn_tokens);
 }
 
-TEST_CASE("a daemon that does not hold a range gives nothing") {
+TEST_CASE("a daemon that does not hold a range grants nothing") {
   auto fixture = ranges_fixture{};
   auto holder = fixture.start_daemon("vm-1@1");
   auto other = fixture.start_daemon("vm-2@1");
@@ -63,34 +63,34 @@
   CHECK(other->give("p", turn_tokens) == 0);
 }
 
-TEST_CASE("a holder that the store does not answer gives nothing beyond its lease") {
+TEST_CASE("a holder that cannot renew its lease stops granting when the lease expires") {
   auto fixture = ranges_fixture{};
   auto holder = fixture.start_daemon("vm-1@1");
   fixture.rows_->faults().down_ = true;
-  run_loop_for(fixture.loop_, lease);
+  run_loop_for(fixture.loop_, lease_duration);
   CHECK_FALSE(fixture.look(*holder));
   CHECK(holder->give("p", turn_tokens) == 0);
 }
 
 TEST_CASE(
-    "a range whose holder is lost is taken after its lease, and gives when all programs of its time ended") {
+    "a successor of a lost holder grants only after the holder's lease and program lifetime have passed") {
   auto fixture = ranges_fixture{};
   auto holder = fixture.start_daemon("vm-1@1");
   REQUIRE(holder->give("p", turn_tokens) == turn_tokens);
-  run_loop_for(fixture.loop_, lease);
-  auto successor = fixture.start_daemon("vm-1@2");  // The same VM, started anew.
+  run_loop_for(fixture.loop_, lease_duration);
+  auto successor = fixture.start_daemon("vm-1@2");  // The same VM after a restart.
   CHECK(successor->give("p", turn_tokens) == 0);
   auto clock = steady_clock{};
-  auto taken_at = clock.now();
-  while (successor->held() == 0 && clock.now() < taken_at + 2 * life) {
-    run_loop_for(fixture.loop_, lease / 4);
+  auto started_at = clock.now();
+  while (successor->held() == 0 && clock.now() < started_at + 2 * program_lifetime) {
+    run_loop_for(fixture.loop_, lease_duration / 4);
     fixture.look(*successor);
   }
-  CHECK(clock.now() - taken_at >= life - lease / 2);
+  CHECK(clock.now() - started_at >= program_lifetime - lease_duration / 2);
   CHECK(successor->give("p", turn_tokens) == turn_tokens);
 }
 
-TEST_CASE("a holder that stops and gave nothing lets others give at once") {
+TEST_CASE("a released range without grants can be used by a successor immediately") {
   auto fixture = ranges_fixture{};
   auto holder = fixture.start_daemon("vm-1@1");
   fixture.release(*holder);
@@ -99,7 +99,7 @@
   CHECK(successor->give("p", turn_tokens) == turn_tokens);
 }
 
-TEST_CASE("a holder that stops and gave something is waited for") {
+TEST_CASE("a range with grants is not available to a successor immediately after a release") {
   auto fixture = ranges_fixture{};
   auto holder = fixture.start_daemon("vm-1@1");
   auto range = holder->range_of("p");
@@ -109,9 +109,9 @@
   CHECK(((successor->held() >> static_cast<unsigned>(range)) & 1U) == 0);
 }
 
-TEST_CASE("a range whose row can't be read is left alone") {
+TEST_CASE("a range whose row is malformed is not acquired") {
   auto fixture = ranges_fixture{};
-  fixture.rows_->put({"allowances", "", "range-0"}, "no row of ours");
+  fixture.rows_->put({"allowances", "", "range-0"}, "malformed");
   auto holder = fixture.start_daemon("vm-1@1");
   CHECK_FALSE(fixture.look(*holder));
   CHECK(holder->held() == 0);
