--- a/birchlever/controllers/budget_transfer.cpp
+++ b/birchlever/controllers/budget_transfer.cpp
@@ -151,7 +151,7 @@
   if (!allowances_) {
     co_return 0;
   }
-  auto given = allowances_->give(program_key, tokens);
+  auto given = allowances_->grant(program_key, tokens);
   auto holder = holder_of_(allowances_->range_of(program_key));
   if (given > 0 || !holder) {
     co_return given;
@@ -231,7 +231,7 @@
   }
   auto answer = http_response{http::status::ok, 11};
   if (is_allowance) {
-    answer.body() = answer_text({allowances_ ? allowances_->give(parts[0], *tokens) : 0});
+    answer.body() = answer_text({allowances_ ? allowances_->grant(parts[0], *tokens) : 0});
     return answer;
   }
   const auto& holder = parts[3];
--- a/birchlever/coordination/allowance_ranges.cpp
+++ b/birchlever/coordination/allowance_ranges.cpp
@@ -83,7 +83,7 @@
   return now < held.usable_until_ && now + held.store_clock_offset_ >= held.grants_from_;
 }
 
-auto allowance_ranges::held() const -> std::uint64_t {
+auto allowance_ranges::held_ranges() const -> std::uint64_t {
   auto bits = std::uint64_t{0};
   for (const auto& [range, holding] : holdings_) {
     bits |= can_grant(range) ? std::uint64_t{1} << static_cast<unsigned>(range) : 0U;
@@ -91,7 +91,7 @@
   return bits;
 }
 
-auto allowance_ranges::give(const std::string& program_key, std::int64_t tokens) -> std::int64_t {
+auto allowance_ranges::grant(const std::string& program_key, std::int64_t tokens) -> std::int64_t {
   auto range = range_of(program_key);
   if (!can_grant(range) || !granted_at_.emplace(program_key, clock_.now()).second) {
     return 0;
@@ -139,7 +139,7 @@
   co_return true;
 }
 
-auto allowance_ranges::look() -> task<bool> {
+auto allowance_ranges::poll() -> task<bool> {
   auto self = shared_from_this();
   if (program_lifetime_() == 0 || released_) {
     co_return true;
@@ -185,8 +185,8 @@
 auto allowance_ranges::run() -> task<> {
   auto self = shared_from_this();
   while (!released_) {
-    auto answered = co_await look();
-    co_await pause_for(*loop_, answered ? settings_.look_gap_ : settings_.retry_interval_);
+    auto answered = co_await poll();
+    co_await pause_for(*loop_, answered ? settings_.poll_interval_ : settings_.retry_interval_);
   }
 }
 
--- a/birchlever/coordination/allowance_ranges.h
+++ b/birchlever/coordination/allowance_ranges.h
@@ -28,7 +28,7 @@
   int ranges_ = 32;                         ///< Number of ranges, at most 64; must be equal on all daemons.
   milliseconds lease_ = 60000;              ///< Lease duration; must exceed the longest store outage.
   milliseconds renewal_threshold_ = 40000;  ///< Leases with less time left are renewed.
-  milliseconds look_gap_ = 5000;            ///< Interval between polls of the rows.
+  milliseconds poll_interval_ = 5000;       ///< Interval between polls of the rows.
   milliseconds retry_interval_ = 500;       ///< Delay after a failed poll.
   milliseconds call_limit_ = 1500;          ///< Timeout of one store call.
 };
@@ -52,14 +52,14 @@
 
   /// Grants a program the given tokens if this daemon holds the program's range and has not granted to it
   /// before. Returns the tokens granted, 0 otherwise.
-  auto give(const std::string& program_key, std::int64_t tokens) -> std::int64_t;
+  auto grant(const std::string& program_key, std::int64_t tokens) -> std::int64_t;
 
   /// Returns a bit mask of the ranges for which this daemon may grant now.
-  [[nodiscard]] auto held() const -> std::uint64_t;
+  [[nodiscard]] auto held_ranges() const -> std::uint64_t;
 
   /// Reads all rows once, then acquires and renews ranges. Returns false if a store call fails or a row is
   /// malformed.
-  auto look() -> task<bool>;
+  auto poll() -> task<bool>;
 
   /// Releases the ranges without grants, so that other daemons can acquire them immediately, and stops
   /// granting.
--- a/birchlever_daemon/gateway_daemon_peers.cpp
+++ b/birchlever_daemon/gateway_daemon_peers.cpp
@@ -160,7 +160,7 @@
   state.store_silence_ = store_->silent_for();
   state.configuration_ = context_->configuration_ ? context_->configuration_->version_ : 0;
   state.control_address_ = settings_.control_address_;
-  state.allowance_ranges_ = allowances_ ? allowances_->held() : 0;
+  state.allowance_ranges_ = allowances_ ? allowances_->held_ranges() : 0;
   state.follows_ = upstream_feed_ && upstream_feed_->follows();
   if (upstream_feed_) {
     state.followers_ = upstream_feed_->told_followers();
--- a/unit_tests/controllers/budget_transfer_test.cpp
+++ b/unit_tests/controllers/budget_transfer_test.cpp
@@ -84,11 +84,11 @@
   auto fixture = transfer_fixture{};
   auto settings = allowance_settings{};
   settings.daemon_ = "vm-1@7";
-  settings.look_gap_ = 3'600'000;
+  settings.poll_interval_ = 3'600'000;
   auto always = [](std::string_view) { return true; };
   auto minute = [] { return milliseconds{60000}; };
   auto held = value(allowance_ranges::create(fixture.loop_, fixture.rows_, settings, always, minute));
-  REQUIRE(run_to_end(fixture.loop_, held->look()));
+  REQUIRE(run_to_end(fixture.loop_, held->poll()));
   auto nobody = [](int) { return std::optional<std::string>{}; };
   fixture.pages_->set_allowances(held, nobody);
   settings.daemon_ = "vm-2@9";
--- a/unit_tests/coordination/allowance_ranges_test.cpp
+++ b/unit_tests/coordination/allowance_ranges_test.cpp
@@ -20,16 +20,16 @@
     settings.ranges_ = 2;
     settings.lease_ = lease_duration;
     settings.renewal_threshold_ = lease_duration / 2;
-    settings.look_gap_ = 3'600'000;  // Disables polling in the background; the tests poll explicitly.
-    settings.retry_interval_ = settings.look_gap_;
+    settings.poll_interval_ = 3'600'000;  // Disables polling in the background; the tests poll explicitly.
+    settings.retry_interval_ = settings.poll_interval_;
     settings.call_limit_ = 50;
     auto created = value(allowance_ranges::create(
         loop_, rows_, settings, [](std::string_view) { return true; }, [] { return program_lifetime; }));
-    look(*created);
+    poll(*created);
     return created;
   }
 
-  auto look(allowance_ranges& daemon) -> bool { return run_to_end(loop_, daemon.look()); }
+  auto poll(allowance_ranges& daemon) -> bool { return run_to_end(loop_, daemon.poll()); }
 
   auto release(allowance_ranges& daemon) -> void {
     auto release_ranges = [](allowance_ranges& ranges) -> task<bool> {
@@ -49,18 +49,18 @@
   auto fixture = ranges_fixture{};
   auto holder = fixture.start_daemon("vm-1@1");
   fixture.rows_->faults().down_ = true;
-  CHECK(holder->held() == 3);
-  CHECK(holder->give("p", turn_tokens) == turn_tokens);
-  CHECK(holder->give("p", turn_tokens) == 0);
-  CHECK(holder->give("q", turn_tokens) == turn_tokens);
+  CHECK(holder->held_ranges() == 3);
+  CHECK(holder->grant("p", turn_tokens) == turn_tokens);
+  CHECK(holder->grant("p", turn_tokens) == 0);
+  CHECK(holder->grant("q", turn_tokens) == turn_tokens);
 }
 
 TEST_CASE("a daemon that does not hold a range grants nothing") {
   auto fixture = ranges_fixture{};
   auto holder = fixture.start_daemon("vm-1@1");
   auto other = fixture.start_daemon("vm-2@1");
-  CHECK(other->held() == 0);
-  CHECK(other->give("p", turn_tokens) == 0);
+  CHECK(other->held_ranges() == 0);
+  CHECK(other->grant("p", turn_tokens) == 0);
 }
 
 TEST_CASE("a holder that cannot renew its lease stops granting when the lease expires") {
@@ -68,53 +68,53 @@
   auto holder = fixture.start_daemon("vm-1@1");
   fixture.rows_->faults().down_ = true;
   run_loop_for(fixture.loop_, lease_duration);
-  CHECK_FALSE(fixture.look(*holder));
-  CHECK(holder->give("p", turn_tokens) == 0);
+  CHECK_FALSE(fixture.poll(*holder));
+  CHECK(holder->grant("p", turn_tokens) == 0);
 }
 
 TEST_CASE(
     "a successor of a lost holder grants only after the holder's lease and program lifetime have passed") {
   auto fixture = ranges_fixture{};
   auto holder = fixture.start_daemon("vm-1@1");
-  REQUIRE(holder->give("p", turn_tokens) == turn_tokens);
+  REQUIRE(holder->grant("p", turn_tokens) == turn_tokens);
   run_loop_for(fixture.loop_, lease_duration);
   auto successor = fixture.start_daemon("vm-1@2");  // The same VM after a restart.
-  CHECK(successor->give("p", turn_tokens) == 0);
+  CHECK(successor->grant("p", turn_tokens) == 0);
   auto clock = steady_clock{};
   auto started_at = clock.now();
-  while (successor->held() == 0 && clock.now() < started_at + 2 * program_lifetime) {
+  while (successor->held_ranges() == 0 && clock.now() < started_at + 2 * program_lifetime) {
     run_loop_for(fixture.loop_, lease_duration / 4);
-    fixture.look(*successor);
+    fixture.poll(*successor);
   }
   CHECK(clock.now() - started_at >= program_lifetime - lease_duration / 2);
-  CHECK(successor->give("p", turn_tokens) == turn_tokens);
+  CHECK(successor->grant("p", turn_tokens) == turn_tokens);
 }
 
 TEST_CASE("a released range without grants can be used by a successor immediately") {
   auto fixture = ranges_fixture{};
   auto holder = fixture.start_daemon("vm-1@1");
   fixture.release(*holder);
-  CHECK(holder->give("p", turn_tokens) == 0);
+  CHECK(holder->grant("p", turn_tokens) == 0);
   auto successor = fixture.start_daemon("vm-2@1");
-  CHECK(successor->give("p", turn_tokens) == turn_tokens);
+  CHECK(successor->grant("p", turn_tokens) == turn_tokens);
 }
 
 TEST_CASE("a range with grants is not available to a successor immediately after a release") {
   auto fixture = ranges_fixture{};
   auto holder = fixture.start_daemon("vm-1@1");
   auto range = holder->range_of("p");
-  REQUIRE(holder->give("p", turn_tokens) == turn_tokens);
+  REQUIRE(holder->grant("p", turn_tokens) == turn_tokens);
   fixture.release(*holder);
   auto successor = fixture.start_daemon("vm-2@1");
-  CHECK(((successor->held() >> static_cast<unsigned>(range)) & 1U) == 0);
+  CHECK(((successor->held_ranges() >> static_cast<unsigned>(range)) & 1U) == 0);
 }
 
 TEST_CASE("a range whose row is malformed is not acquired") {
   auto fixture = ranges_fixture{};
   fixture.rows_->put({"allowances", "", "range-0"}, "malformed");
   auto holder = fixture.start_daemon("vm-1@1");
-  CHECK_FALSE(fixture.look(*holder));
-  CHECK(holder->held() == 0);
+  CHECK_FALSE(fixture.poll(*holder));
+  CHECK(holder->held_ranges() == 0);
 }
 
 }  // namespace birchlever
