--- a/birchlever/controllers/budget_transfer.cpp
+++ b/birchlever/controllers/budget_transfer.cpp
@@ -32,15 +32,15 @@
   return parts;
 }
 
-auto answer_text(const handed_tokens& handed) -> std::string {
+auto answer_text(const transferred_tokens& handed) -> std::string {
   auto text = std::to_string(handed.tokens_) + "\n";
-  for (const auto& daemon : handed.moved_to_) {
+  for (const auto& daemon : handed.recipients_) {
     text += daemon + "\n";
   }
   return text;
 }
 
-auto read_answer(const std::string& body) -> std::optional<handed_tokens> {
+auto read_answer(const std::string& body) -> std::optional<transferred_tokens> {
   auto text = std::istringstream{body};
   auto line = std::string{};
   std::getline(text, line);
@@ -48,9 +48,9 @@
   if (!tokens) {
     return std::nullopt;
   }
-  auto handed = handed_tokens{*tokens};
+  auto handed = transferred_tokens{*tokens};
   while (std::getline(text, line)) {
-    handed.moved_to_.push_back(line);
+    handed.recipients_.push_back(line);
   }
   return handed;
 }
@@ -62,7 +62,7 @@
   explicit round(event_loop& loop) : answered_{loop} {}
 
   int open_ = 0;
-  handed_tokens handed_;
+  transferred_tokens handed_;
   loop_signal answered_;
 };
 
@@ -78,8 +78,8 @@
   return std::shared_ptr<budget_transfer>{new budget_transfer{loop, settings, std::move(addresses)}};
 }
 
-auto budget_transfer::ask(std::string program_key, std::vector<std::string> holders, std::int64_t tokens)
-    -> task<handed_tokens> {
+auto budget_transfer::request_tokens(std::string program_key, std::vector<std::string> holders,
+                                     std::int64_t tokens) -> task<transferred_tokens> {
   auto self = shared_from_this();
   auto asked = std::make_shared<round>(*loop_);
   auto addresses = addresses_();
@@ -126,7 +126,7 @@
   holder_of_ = std::move(holder_of);
 }
 
-auto budget_transfer::take_lease(std::string program_key, std::string reservation, std::string holder)
+auto budget_transfer::request_lease(std::string program_key, std::string reservation, std::string holder)
     -> task<bool> {
   auto self = shared_from_this();
   auto vm = holder.substr(0, holder.find(incarnation_sign));
@@ -147,7 +147,7 @@
   co_return given;
 }
 
-auto budget_transfer::ask_allowance(std::string program_key, std::int64_t tokens) -> task<std::int64_t> {
+auto budget_transfer::request_allowance(std::string program_key, std::int64_t tokens) -> task<std::int64_t> {
   if (!allowances_) {
     co_return 0;
   }
@@ -169,15 +169,16 @@
   --asked->open_;
   if (got) {
     asked->handed_.tokens_ += got->tokens_;
-    auto& moved = asked->handed_.moved_to_;
-    moved.insert(moved.end(), got->moved_to_.begin(), got->moved_to_.end());
+    auto& moved = asked->handed_.recipients_;
+    moved.insert(moved.end(), got->recipients_.begin(), got->recipients_.end());
   } else {
     asked->handed_.unaccounted_ = true;
   }
   asked->answered_.notify();
 }
 
-auto budget_transfer::call(std::string address, std::string target) -> task<std::optional<handed_tokens>> {
+auto budget_transfer::call(std::string address, std::string target)
+    -> task<std::optional<transferred_tokens>> {
   auto answered = co_await exchange(std::move(address), std::move(target), settings_.limit_);
   auto known = answered && answered->status_ == static_cast<unsigned>(http::status::ok);
   co_return known ? read_answer(answered->body_) : std::nullopt;
--- a/birchlever/controllers/budget_transfer.h
+++ b/birchlever/controllers/budget_transfer.h
@@ -39,8 +39,8 @@
   static auto create(event_loop& loop, const budget_transfer_settings& settings, addresses_function addresses)
       -> std::shared_ptr<budget_transfer>;
 
-  auto ask(std::string program_key, std::vector<std::string> holders, std::int64_t tokens)
-      -> task<handed_tokens> override;
+  auto request_tokens(std::string program_key, std::vector<std::string> holders, std::int64_t tokens)
+      -> task<transferred_tokens> override;
 
   /// Yields the control address of the daemon that holds a range of allowances, as it last said.
   using range_holder_function = std::function<std::optional<std::string>(int)>;
@@ -48,10 +48,10 @@
   /// Lets programs go beyond their budgets, through this daemon's ranges and those of others.
   auto set_allowances(std::shared_ptr<allowance_ranges> ranges, range_holder_function holder_of) -> void;
 
-  auto take_lease(std::string program_key, std::string reservation, std::string holder)
+  auto request_lease(std::string program_key, std::string reservation, std::string holder)
       -> task<bool> override;
 
-  auto ask_allowance(std::string program_key, std::int64_t tokens) -> task<std::int64_t> override;
+  auto request_allowance(std::string program_key, std::int64_t tokens) -> task<std::int64_t> override;
 
   /// True for a peer's request for tokens.
   [[nodiscard]] static auto is_request(const http_request& request) -> bool;
@@ -66,7 +66,7 @@
   budget_transfer(event_loop& loop, const budget_transfer_settings& settings, addresses_function addresses);
 
   auto ask_one(std::string address, std::string target, std::shared_ptr<round> asked) -> task<>;
-  auto call(std::string address, std::string target) -> task<std::optional<handed_tokens>>;
+  auto call(std::string address, std::string target) -> task<std::optional<transferred_tokens>>;
   auto exchange(std::string address, std::string target, milliseconds limit)
       -> task<std::optional<whole_answer>>;
   auto answer_lease(program_store& programs, const std::vector<std::string>& parts) const -> http_response;
--- a/birchlever/coordination/program_store.cpp
+++ b/birchlever/coordination/program_store.cpp
@@ -180,7 +180,7 @@
       continue;
     }
     auto reservation = name;
-    auto given = co_await budget_peers_->take_lease(program->name_, reservation, holder);
+    auto given = co_await budget_peers_->request_lease(program->name_, reservation, holder);
     co_return given ? std::optional{reservation} : std::nullopt;
   }
   co_return std::nullopt;
--- a/birchlever/coordination/program_store.h
+++ b/birchlever/coordination/program_store.h
@@ -127,7 +127,8 @@
 
   /// Hands drawn tokens to another daemon: as many as it asks for, or half of them when that is more, since
   /// its next turns need some too. What is handed over is no more ours, also when the answer is lost.
-  auto hand_over(const std::string& program_key, const std::string& to, std::int64_t tokens) -> handed_tokens;
+  auto hand_over(const std::string& program_key, const std::string& to, std::int64_t tokens)
+      -> transferred_tokens;
 
   /// Gives a reservation that is held here for a program's next turn to the daemon where that turn came.
   /// False when it is not held, or not for long enough.
@@ -183,7 +184,7 @@
   auto add_allowance(entry_pointer program, std::int64_t tokens) -> task<>;
   auto collect_from_peers(entry_pointer program, std::int64_t tokens) -> task<bool>;
   auto ask_peers(entry_pointer program, std::vector<std::string> holders, std::int64_t tokens)
-      -> task<handed_tokens>;
+      -> task<transferred_tokens>;
   static auto take_drawn(entry& program, std::int64_t tokens, std::int64_t least)
       -> std::optional<std::int64_t>;
   auto apply_draw(const entry& program, const change& wanted, program_record& record) const -> verdict;
--- a/birchlever/coordination/program_store_draw.cpp
+++ b/birchlever/coordination/program_store_draw.cpp
@@ -98,7 +98,7 @@
 
 auto program_store::add_allowance(entry_pointer program, std::int64_t tokens) -> task<> {
   if (budget_peers_) {
-    program->drawn_ += co_await budget_peers_->ask_allowance(program->name_, tokens);
+    program->drawn_ += co_await budget_peers_->request_allowance(program->name_, tokens);
   }
 }
 
@@ -116,7 +116,7 @@
     auto handed = co_await ask_peers(program, std::move(holders), tokens);
     lost = lost || handed.unaccounted_;
     holders.clear();
-    for (auto& daemon : handed.moved_to_) {
+    for (auto& daemon : handed.recipients_) {
       if (asked.insert(daemon).second) {
         holders.push_back(std::move(daemon));
       }
@@ -126,10 +126,10 @@
 }
 
 auto program_store::ask_peers(entry_pointer program, std::vector<std::string> holders, std::int64_t tokens)
-    -> task<handed_tokens> {
-  auto handed = handed_tokens{};
+    -> task<transferred_tokens> {
+  auto handed = transferred_tokens{};
   if (budget_peers_) {
-    handed = co_await budget_peers_->ask(program->name_, std::move(holders), tokens);
+    handed = co_await budget_peers_->request_tokens(program->name_, std::move(holders), tokens);
   }
   program->drawn_ += handed.tokens_;
   co_return handed;
@@ -205,15 +205,15 @@
 }
 
 auto program_store::hand_over(const std::string& program_key, const std::string& to, std::int64_t tokens)
-    -> handed_tokens {
-  auto handed = handed_tokens{};
+    -> transferred_tokens {
+  auto handed = transferred_tokens{};
   auto found = entries_.find(program_key);
   if (found == entries_.end()) {
     return handed;
   }
   auto& program = *found->second;
   handed.tokens_ = std::min(std::max(tokens, program.drawn_ / 2), program.drawn_);
-  handed.moved_to_.assign(program.handed_to_.begin(), program.handed_to_.end());
+  handed.recipients_.assign(program.handed_to_.begin(), program.handed_to_.end());
   program.drawn_ -= handed.tokens_;
   if (handed.tokens_ > 0) {
     program.handed_to_.insert(to);
--- a/unit_tests/controllers/budget_transfer_test.cpp
+++ b/unit_tests/controllers/budget_transfer_test.cpp
@@ -43,8 +43,8 @@
     run_loop_for(loop_, 20);
   }
 
-  auto ask(std::vector<std::string> holders, std::int64_t tokens) -> handed_tokens {
-    return run_to_end(loop_, asker_->ask("p", std::move(holders), tokens));
+  auto ask(std::vector<std::string> holders, std::int64_t tokens) -> transferred_tokens {
+    return run_to_end(loop_, asker_->request_tokens("p", std::move(holders), tokens));
   }
 
   event_loop loop_{1};
@@ -70,7 +70,7 @@
   CHECK_FALSE(first.unaccounted_);
   auto second = fixture.ask({"vm-1@7"}, 300);
   CHECK(second.tokens_ == 20);  // 360 were drawn ahead, 40 of them for the turn that runs.
-  CHECK(second.moved_to_ == std::vector<std::string>{"vm-2@9"});
+  CHECK(second.recipients_ == std::vector<std::string>{"vm-2@9"});
 }
 
 TEST_CASE("a holder that was started anew, or is not there, leaves tokens unaccounted") {
@@ -94,11 +94,11 @@
   settings.daemon_ = "vm-2@9";
   auto none = value(allowance_ranges::create(fixture.loop_, fixture.rows_, settings, always, minute));
   fixture.asker_->set_allowances(none, [&](int) { return std::optional{fixture.address_}; });
-  CHECK(run_to_end(fixture.loop_, fixture.asker_->ask_allowance("p", 40)) == 40);
-  CHECK(run_to_end(fixture.loop_, fixture.asker_->ask_allowance("p", 40)) == 0);
-  CHECK(run_to_end(fixture.loop_, fixture.pages_->ask_allowance("p", 40)) == 0);
+  CHECK(run_to_end(fixture.loop_, fixture.asker_->request_allowance("p", 40)) == 40);
+  CHECK(run_to_end(fixture.loop_, fixture.asker_->request_allowance("p", 40)) == 0);
+  CHECK(run_to_end(fixture.loop_, fixture.pages_->request_allowance("p", 40)) == 0);
   fixture.asker_->set_allowances(none, nobody);
-  CHECK(run_to_end(fixture.loop_, fixture.asker_->ask_allowance("q", 40)) == 0);
+  CHECK(run_to_end(fixture.loop_, fixture.asker_->request_allowance("q", 40)) == 0);
 }
 
 TEST_CASE("a request for tokens that can't be read is refused") {
--- a/unit_tests/coordination/budget_draw_test.cpp
+++ b/unit_tests/coordination/budget_draw_test.cpp
@@ -24,10 +24,10 @@
  public:
   fleet_peers(fleet& all, std::string asker) : fleet_{&all}, asker_{std::move(asker)} {}
 
-  auto ask(std::string program_key, std::vector<std::string> holders, std::int64_t tokens)
-      -> task<handed_tokens> override;
-  auto ask_allowance(std::string program_key, std::int64_t tokens) -> task<std::int64_t> override;
-  auto take_lease(std::string /*program_key*/, std::string /*reservation*/, std::string /*holder*/)
+  auto request_tokens(std::string program_key, std::vector<std::string> holders, std::int64_t tokens)
+      -> task<transferred_tokens> override;
+  auto request_allowance(std::string program_key, std::int64_t tokens) -> task<std::int64_t> override;
+  auto request_lease(std::string /*program_key*/, std::string /*reservation*/, std::string /*holder*/)
       -> task<bool> override {
     co_return false;  // Turns of which nothing is kept hold none.
   }
@@ -121,9 +121,9 @@
   int turns_ = 0;
 };
 
-auto fleet_peers::ask(std::string program_key, std::vector<std::string> holders, std::int64_t tokens)
-    -> task<handed_tokens> {
-  auto handed = handed_tokens{};
+auto fleet_peers::request_tokens(std::string program_key, std::vector<std::string> holders,
+                                 std::int64_t tokens) -> task<transferred_tokens> {
+  auto handed = transferred_tokens{};
   if (holders.empty()) {
     for (const auto& [name, daemon] : fleet_->daemons_) {
       holders.push_back(name);
@@ -136,14 +136,14 @@
     } else if (holder != asker_) {
       auto got = found->second->hand_over(program_key, asker_, tokens);
       handed.tokens_ += fleet_->lose_handed_ ? 0 : got.tokens_;
-      handed.moved_to_.insert(handed.moved_to_.end(), got.moved_to_.begin(), got.moved_to_.end());
+      handed.recipients_.insert(handed.recipients_.end(), got.recipients_.begin(), got.recipients_.end());
       handed.unaccounted_ = handed.unaccounted_ || fleet_->lose_handed_;
     }
   }
   co_return handed;
 }
 
-auto fleet_peers::ask_allowance(std::string /*program_key*/, std::int64_t tokens) -> task<std::int64_t> {
+auto fleet_peers::request_allowance(std::string /*program_key*/, std::int64_t tokens) -> task<std::int64_t> {
   co_return fleet_->give_allowance(tokens);
 }
 
--- a/unit_tests/coordination/program_store_test.cpp
+++ b/unit_tests/coordination/program_store_test.cpp
@@ -254,14 +254,15 @@
  public:
   explicit one_peer(std::shared_ptr<program_store> other) : other_{std::move(other)} {}
 
-  auto ask(std::string /*program_key*/, std::vector<std::string> /*holders*/, std::int64_t /*tokens*/)
-      -> task<handed_tokens> override {
-    co_return handed_tokens{};
+  auto request_tokens(std::string /*program_key*/, std::vector<std::string> /*holders*/,
+                      std::int64_t /*tokens*/) -> task<transferred_tokens> override {
+    co_return transferred_tokens{};
   }
-  auto ask_allowance(std::string /*program_key*/, std::int64_t /*tokens*/) -> task<std::int64_t> override {
+  auto request_allowance(std::string /*program_key*/, std::int64_t /*tokens*/)
+      -> task<std::int64_t> override {
     co_return 0;
   }
-  auto take_lease(std::string program_key, std::string reservation, std::string holder)
+  auto request_lease(std::string program_key, std::string reservation, std::string holder)
       -> task<bool> override {
     ++asked_;
     last_holder_ = std::move(holder);
