--- a/birchlever/coordination/program_store_write.cpp
+++ b/birchlever/coordination/program_store_write.cpp
@@ -3,7 +3,7 @@
 #include <array>
 #include <cstdio>
 
-#include "birchlever/coordination/conflict_pause.h"
+#include "birchlever/coordination/conflict_backoff.h"
 #include "birchlever/coordination/program_store_state.h"
 #include "birchlever/telemetry/log.h"
 
@@ -245,7 +245,7 @@
 }
 
 auto program_store::pause_after_conflict(std::string name, int conflicts, milliseconds took) -> task<bool> {
-  auto longest = longest_conflict_pause(conflicts, took);
+  auto longest = max_conflict_backoff(conflicts, took);
   if (longest > 0) {
     auto pause = std::uniform_int_distribution<milliseconds>{longest / 2, longest}(random_);
     log_event(
--- a/fleet_model/hot_part.cpp
+++ b/fleet_model/hot_part.cpp
@@ -150,8 +150,8 @@
     ++wanted->call_;
     wanted->tries_ = 0;
     wanted->version_ = told;
-    auto longest = longest_conflict_pause(++wanted->conflicts_, static_cast<milliseconds>(took_ms),
-                                          settings_.conflicts_);
+    auto longest =
+        max_conflict_backoff(++wanted->conflicts_, static_cast<milliseconds>(took_ms), settings_.conflicts_);
     auto pause = static_cast<double>(longest) * (1 + chance()) / 2;
     events_.after(pause, [this, wanted, longest] {
       wanted->version_ = longest > 0 ? version_ : wanted->version_;  // It is read again after a pause.
--- a/fleet_model/hot_part.h
+++ b/fleet_model/hot_part.h
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "birchlever/coordination/conflict_pause.h"
+#include "birchlever/coordination/conflict_backoff.h"
 #include "birchlever/storage/answer_times.h"
 
 namespace birchlever::model {
@@ -28,7 +28,7 @@
   double burst_patience_ms_ = 60000;  ///< For one of those: what a turn spent is settled in the background.
   double duration_ms_ = 30000;
   answer_time_settings answers_;
-  conflict_pause_settings conflicts_;
+  conflict_backoff_settings conflicts_;
   std::uint64_t seed_ = 1;
 };
 
