--- a/birchlever/controllers/shard_writer.cpp
+++ b/birchlever/controllers/shard_writer.cpp
@@ -94,7 +94,7 @@
 auto shard_writer::try_take_over() -> void {
   // A stopping daemon takes a shard only to settle its own last calls, as when the whole fleet stops at once.
   auto leaving = context_->stopping_ && context_->calls_under_way_ == 0;
-  if (!ready_to_own_ || leaving || !lease_->free_for(rank_)) {
+  if (!ready_to_own_ || leaving || !lease_->can_acquire(rank_)) {
     return;
   }
   auto began = context_->clock_->now();
--- a/birchlever/coordination/lease.cpp
+++ b/birchlever/coordination/lease.cpp
@@ -88,7 +88,7 @@
   }
 }
 
-auto lease::free_for(int rank) const -> bool {
+auto lease::can_acquire(int rank) const -> bool {
   if (!seen_ || holding_) {
     return false;
   }
--- a/birchlever/coordination/lease.h
+++ b/birchlever/coordination/lease.h
@@ -50,7 +50,7 @@
   auto observe(const std::optional<table_row>& row) -> void;
 
   /// True when this process may try to take the lease now, given its place in the preference order.
-  [[nodiscard]] auto free_for(int rank) const -> bool;
+  [[nodiscard]] auto can_acquire(int rank) const -> bool;
 
   /// Tries to take the lease. Failures: store_conflict when another process won.
   auto acquire() -> status;
--- a/hello_world/main.cpp
+++ b/hello_world/main.cpp
@@ -25,7 +25,7 @@
   /// Takes the lease and reads what earlier owners left.
   auto take_over(const std::shared_ptr<table_store_interface>& store, milliseconds now) -> bool {
     lease_.observe(value(store->read(lease::row_key(shard))));
-    if (!lease_.free_for(0) || !ok(lease_.acquire())) {
+    if (!lease_.can_acquire(0) || !ok(lease_.acquire())) {
       return false;
     }
     journal_.emplace(value(journal::create({}, shard, lease_.fence_version(), store)));
--- a/unit_tests/coordination/exploration_test.cpp
+++ b/unit_tests/coordination/exploration_test.cpp
@@ -156,7 +156,7 @@
     if (one.ledger_ && !one.lease_->held()) {
       lose(one);
     }
-    if (!one.ledger_ && one.lease_->free_for(node) && ok(one.lease_->acquire())) {
+    if (!one.ledger_ && one.lease_->can_acquire(node) && ok(one.lease_->acquire())) {
       one.journal_.emplace(value(journal::create(settings_, 0, one.lease_->fence_version(), store_)));
       auto found = one.journal_->recover();
       if (!ok(found)) {
--- a/unit_tests/coordination/lease_test.cpp
+++ b/unit_tests/coordination/lease_test.cpp
@@ -43,11 +43,11 @@
   REQUIRE(ok(both.first_.acquire()));
   both.look(both.second_);
   both.clock_->advance(6999);
-  CHECK(!both.second_.free_for(0));
+  CHECK(!both.second_.can_acquire(0));
   CHECK(!both.first_.held());
   both.clock_->advance(1);
-  CHECK(both.second_.free_for(0));
-  CHECK(!both.second_.free_for(1));
+  CHECK(both.second_.can_acquire(0));
+  CHECK(!both.second_.can_acquire(1));
   REQUIRE(ok(both.second_.acquire()));
   CHECK(both.second_.epoch() == 2);
   auto renewed = both.first_.renew();
@@ -61,7 +61,7 @@
   REQUIRE(ok(both.first_.acquire()));
   REQUIRE(ok(both.first_.release("vm-2")));
   both.look(both.second_);
-  CHECK(both.second_.free_for(5));
+  CHECK(both.second_.can_acquire(5));
   CHECK(ok(both.second_.acquire()));
   CHECK(!both.first_.held());
 }
