--- a/birchlever/controllers/owner_messages.h
+++ b/birchlever/controllers/owner_messages.h
@@ -14,7 +14,7 @@
 
 /// A call that asks its shard's owner for a ticket.
 struct open_request {
-  call_order order_;
+  call_request order_;
   std::string request_id_;  ///< Asking twice with the same id gives the same ticket.
   std::string model_;
   std::string service_;  ///< Plain service; empty for engines.
--- a/birchlever/controllers/shard_controller.cpp
+++ b/birchlever/controllers/shard_controller.cpp
@@ -206,7 +206,7 @@
     return;
   }
   auto now = context_->clock_->now();
-  auto known = ledger_->accepted(report.account_, report.program_, report.number_, report.sequence_);
+  auto known = ledger_->mark_accepted(report.account_, report.program_, report.number_, report.sequence_);
   if (!known && report.epoch_ < epoch_) {
     auto under_way =
         call_settlement{report.account_, report.program_, report.number_, report.epoch_, report.sequence_};
@@ -308,13 +308,13 @@
   if (!records.empty()) {
     commit(std::move(records), [](bool) {});
   }
-  ledger_->forget(now);
+  ledger_->evict_ended(now);
   if (sweep_now_ || now - swept_at_ >= context_->settings_.sweep_ms_) {
     sweep_now_ = false;
     swept_at_ = now;
     auto message = std::make_shared<sweep_message>();
     message->shard_ = shard_;
-    ledger_->each([&](const program& one) {
+    ledger_->for_each([&](const program& one) {
       if (!one.ended_) {
         message->live_sessions_.push_back(program_key(one.account_, one.id_));
       }
--- a/birchlever/controllers/shard_programs.cpp
+++ b/birchlever/controllers/shard_programs.cpp
@@ -82,8 +82,8 @@
   if (record.kind_ == record_kind::program_ended && owner != nullptr) {
     release_memory(*owner);
     explanations_.erase(program_key(record.account_, record.program_));
-    if (record.reason_ == "done" && owner->began_at_ > 0) {
-      auto latency = static_cast<double>(owner->last_answer_at_ - owner->began_at_);
+    if (record.reason_ == "done" && owner->started_at_ > 0) {
+      auto latency = static_cast<double>(owner->last_answer_at_ - owner->started_at_);
       context_->comparison_->program_ended(owner->policy_, latency);
     }
   }
@@ -209,7 +209,7 @@
     return list.dump();
   }
   auto now = context_->clock_->now();
-  ledger_->each([&](const program& one) {
+  ledger_->for_each([&](const program& one) {
     if (kind == "programs") {
       auto explained = explanations_.find(program_key(one.account_, one.id_));
       list.push_back(
--- a/birchlever/coordination/program.h
+++ b/birchlever/coordination/program.h
@@ -61,7 +61,7 @@
   std::string end_reason_;
   bool ephemeral_ = false;                ///< A single call without an identity; nothing of it is durable.
   milliseconds last_active_ = 0;          ///< On the owner's clock.
-  milliseconds began_at_ = 0;             ///< On the owner's clock; zero when it began under another owner.
+  milliseconds started_at_ = 0;           ///< On the owner's clock; zero when it began under another owner.
   std::map<std::uint64_t, int> digests_;  ///< How often each request came, to find loops.
 
   // What policies look at.
--- a/birchlever/coordination/program_ledger.cpp
+++ b/birchlever/coordination/program_ledger.cpp
@@ -11,7 +11,7 @@
   return error{code, std::move(detail), ran_state::not_run, retry_after_ms};
 }
 
-auto call_name(const call_order& order) -> std::string {
+auto call_name(const call_request& order) -> std::string {
   return "call " + std::to_string(order.number_) + " of program " + order.program_;
 }
 
@@ -62,13 +62,13 @@
   return found == programs_.end() ? nullptr : &found->second;
 }
 
-auto program_ledger::each(const std::function<void(const program&)>& visit) const -> void {
+auto program_ledger::for_each(const std::function<void(const program&)>& visit) const -> void {
   for (const auto& [key, one] : programs_) {
     visit(one);
   }
 }
 
-auto program_ledger::create_program(const call_order& order, const std::string& policy, milliseconds now)
+auto program_ledger::create_program(const call_request& order, const std::string& policy, milliseconds now)
     -> program& {
   auto& created = programs_[key_of(order.account_, order.program_)];
   created.account_ = order.account_;
@@ -77,7 +77,7 @@
   created.ephemeral_ = order.ephemeral_;
   created.budget_ = budget_account{order.budget_ > 0 ? order.budget_ : settings_.default_budget_};
   created.last_active_ = now;
-  created.began_at_ = now;
+  created.started_at_ = now;
   return created;
 }
 
@@ -99,13 +99,13 @@
   if (known != nullptr && known->durable_) {
     return std::vector<journal_record>{};
   }
-  auto order = call_order{account, program};
+  auto order = call_request{account, program};
   order.budget_ = budget;
   auto& owner = known != nullptr ? *known : create_program(order, policy, now);
   return std::vector{opened_record(owner, slice_of(owner))};
 }
 
-auto program_ledger::open(const call_order& order, const std::string& policy, milliseconds now)
+auto program_ledger::open(const call_request& order, const std::string& policy, milliseconds now)
     -> open_decision {
   auto* owner = find(order.account_, order.program_);
   if (owner == nullptr) {
@@ -131,8 +131,8 @@
   return open_next(*owner, order, now);
 }
 
-auto program_ledger::open_again(program& owner, program_call& call, const call_order& order, milliseconds now)
-    -> open_decision {
+auto program_ledger::open_again(program& owner, program_call& call, const call_request& order,
+                                milliseconds now) -> open_decision {
   if (call.digest_ != order.digest_ && call.digest_ != 0) {
     return refuse(error_code::call_mismatch, call_name(order) + " was issued with another request");
   }
@@ -162,7 +162,7 @@
   return open_wait{true};
 }
 
-auto program_ledger::open_next(program& owner, const call_order& order, milliseconds now) -> open_decision {
+auto program_ledger::open_next(program& owner, const call_request& order, milliseconds now) -> open_decision {
   if (owner.ended_) {
     return refuse(error_code::program_ended, "program ended: " + owner.end_reason_);
   }
@@ -186,7 +186,7 @@
   return begin(owner, order, now);
 }
 
-auto program_ledger::limits(const program& owner, const call_order& order) const -> std::optional<error> {
+auto program_ledger::limits(const program& owner, const call_request& order) const -> std::optional<error> {
   if (order.number_ > settings_.turn_limit_) {
     return refuse(error_code::program_too_long,
                   "program reached its limit of " + std::to_string(settings_.turn_limit_) + " calls");
@@ -203,7 +203,7 @@
   return std::min(settings_.budget_slice_, owner.budget_.budget() / settings_.slices_per_budget_);
 }
 
-auto program_ledger::cost_of(const program& owner, const call_order& order) const -> std::int64_t {
+auto program_ledger::cost_of(const program& owner, const call_request& order) const -> std::int64_t {
   if (!order.generates_) {
     return 0;
   }
@@ -213,7 +213,7 @@
   return std::clamp<std::int64_t>(owner.budget_.remaining(), 1, settings_.default_max_tokens_);
 }
 
-auto program_ledger::begin(program& owner, const call_order& order, milliseconds now) -> open_decision {
+auto program_ledger::begin(program& owner, const call_request& order, milliseconds now) -> open_decision {
   auto over = limits(owner, order);
   if (over) {
     return *over;
@@ -253,7 +253,7 @@
   return proceed;
 }
 
-auto program_ledger::dispatch(const call_order& order, const std::string& upstream, milliseconds now)
+auto program_ledger::dispatch(const call_request& order, const std::string& upstream, milliseconds now)
     -> std::pair<call_ticket, std::optional<journal_record>> {
   auto& owner = programs_.at(key_of(order.account_, order.program_));
   auto& call = owner.calls_.at(order.number_);
@@ -310,8 +310,8 @@
   return {};
 }
 
-auto program_ledger::accepted(const std::string& account, const std::string& program, std::int32_t number,
-                              std::int64_t sequence) -> bool {
+auto program_ledger::mark_accepted(const std::string& account, const std::string& program,
+                                   std::int32_t number, std::int64_t sequence) -> bool {
   auto* owner = find(account, program);
   if (owner == nullptr) {
     return false;
@@ -368,7 +368,7 @@
   return records;
 }
 
-auto program_ledger::forget(milliseconds now) -> void {
+auto program_ledger::evict_ended(milliseconds now) -> void {
   for (auto next = programs_.begin(); next != programs_.end();) {
     auto& one = next->second;
     auto retention = one.ephemeral_ ? 0 : settings_.ended_retention_;
--- a/birchlever/coordination/program_ledger.h
+++ b/birchlever/coordination/program_ledger.h
@@ -32,7 +32,7 @@
 };
 
 /// A call as its caller asked for it.
-struct call_order {
+struct call_request {
   std::string account_;
   std::string program_;
   std::int32_t number_ = 1;
@@ -122,14 +122,14 @@
   auto recover(const journal_recovery& found, milliseconds now) -> status;
 
   /// Decides about a call. With open_proceed the call's cost is promised until dispatch, cancel or settle.
-  auto open(const call_order& order, const std::string& policy, milliseconds now) -> open_decision;
+  auto open(const call_request& order, const std::string& policy, milliseconds now) -> open_decision;
 
   /// Opens a program before its first call. Failures: call_mismatch when it exists with another budget.
   auto create_empty(const std::string& account, const std::string& program, std::int64_t budget,
                     const std::string& policy, milliseconds now) -> result<std::vector<journal_record>>;
 
   /// Sends an opened call on its way. The record, if any, must be durable before the ticket is used.
-  auto dispatch(const call_order& order, const std::string& upstream, milliseconds now)
+  auto dispatch(const call_request& order, const std::string& upstream, milliseconds now)
       -> std::pair<call_ticket, std::optional<journal_record>>;
 
   /// Takes back an opened or dispatched call that was certainly not sent. The records must become durable.
@@ -137,8 +137,8 @@
       -> std::vector<journal_record>;
 
   /// The upstream confirmed a call.
-  auto accepted(const std::string& account, const std::string& program, std::int32_t number,
-                std::int64_t sequence) -> bool;
+  auto mark_accepted(const std::string& account, const std::string& program, std::int32_t number,
+                     std::int64_t sequence) -> bool;
 
   /// A call that an earlier epoch dispatched is still under way. Its cost is held since the takeover.
   /// False when this epoch knows better.
@@ -162,7 +162,7 @@
   auto expire(milliseconds now) -> std::vector<journal_record>;
 
   /// Forgets programs that ended long ago.
-  auto forget(milliseconds now) -> void;
+  auto evict_ended(milliseconds now) -> void;
 
   /// The durable state after the row with the given number. Nothing changes until complete_snapshot.
   auto prepare_snapshot(int shard, std::int64_t sequence) -> journal_snapshot;
@@ -177,7 +177,7 @@
   [[nodiscard]] auto find(const std::string& account, const std::string& id) -> program*;
 
   /// Visits every program.
-  auto each(const std::function<void(const program&)>& visit) const -> void;
+  auto for_each(const std::function<void(const program&)>& visit) const -> void;
 
   /// Number of programs known.
   [[nodiscard]] auto size() const -> std::size_t { return programs_.size(); }
@@ -199,13 +199,13 @@
 
   static auto key_of(const std::string& account, const std::string& program) -> std::string;
   [[nodiscard]] auto opened_record(const program& owner, std::int64_t reserved) const -> journal_record;
-  auto create_program(const call_order& order, const std::string& policy, milliseconds now) -> program&;
-  auto open_again(program& owner, program_call& call, const call_order& order, milliseconds now)
+  auto create_program(const call_request& order, const std::string& policy, milliseconds now) -> program&;
+  auto open_again(program& owner, program_call& call, const call_request& order, milliseconds now)
       -> open_decision;
-  auto open_next(program& owner, const call_order& order, milliseconds now) -> open_decision;
-  auto begin(program& owner, const call_order& order, milliseconds now) -> open_decision;
-  [[nodiscard]] auto limits(const program& owner, const call_order& order) const -> std::optional<error>;
-  [[nodiscard]] auto cost_of(const program& owner, const call_order& order) const -> std::int64_t;
+  auto open_next(program& owner, const call_request& order, milliseconds now) -> open_decision;
+  auto begin(program& owner, const call_request& order, milliseconds now) -> open_decision;
+  [[nodiscard]] auto limits(const program& owner, const call_request& order) const -> std::optional<error>;
+  [[nodiscard]] auto cost_of(const program& owner, const call_request& order) const -> std::int64_t;
   [[nodiscard]] auto slice_of(const program& owner) const -> std::int64_t;
   auto void_unused_ticket(program& owner, const call_settlement& report) -> std::vector<journal_record>;
   auto charge_of(const call_settlement& report) -> std::int64_t;
--- a/hello_world/main.cpp
+++ b/hello_world/main.cpp
@@ -62,7 +62,7 @@
   if (!first.take_over(store, clock->now())) {
     return 1;
   }
-  auto deed = call_order{"notary", "deed-41", 1};
+  auto deed = call_request{"notary", "deed-41", 1};
   deed.budget_ = 1000;
   deed.repeatable_ = false;
   deed.generates_ = false;
--- a/unit_tests/coordination/exploration_test.cpp
+++ b/unit_tests/coordination/exploration_test.cpp
@@ -60,7 +60,7 @@
 
 /// A ticket in the hands of an entry, and later the report about it.
 struct held_ticket {
-  call_order order_;
+  call_request order_;
   call_ticket ticket_;
   milliseconds given_at_ = 0;
   bool executed_ = false;
@@ -184,8 +184,8 @@
     return true;
   }
 
-  auto next_order() -> call_order {
-    auto order = call_order{"notary", "p", next_call_};
+  auto next_order() -> call_request {
+    auto order = call_request{"notary", "p", next_call_};
     order.budget_ = budget_;
     order.max_tokens_ = call_tokens;
     order.repeatable_ = next_call_ % 2 == 1;
--- a/unit_tests/coordination/program_ledger_test.cpp
+++ b/unit_tests/coordination/program_ledger_test.cpp
@@ -5,8 +5,8 @@
 namespace birchlever {
 namespace {
 
-auto order_of(int number, bool repeatable = true) -> call_order {
-  auto order = call_order{"notary", "p", number};
+auto order_of(int number, bool repeatable = true) -> call_request {
+  auto order = call_request{"notary", "p", number};
   order.budget_ = 1000;
   order.max_tokens_ = 100;
   order.digest_ = 1000U + static_cast<unsigned>(number);
@@ -17,7 +17,7 @@
 }
 
 /// The same call asked for anew: each request of a caller has an id of its own.
-auto asked_again(call_order order) -> call_order {
+auto asked_again(call_request order) -> call_request {
   order.request_id_ += "-again";
   return order;
 }
@@ -33,7 +33,7 @@
     }
   }
 
-  auto send(const call_order& order) -> call_ticket {
+  auto send(const call_request& order) -> call_ticket {
     auto decision = ledger_.open(order, "default", 0);
     REQUIRE(std::holds_alternative<open_proceed>(decision));
     auto [ticket, intent] = ledger_.dispatch(order, "engine-1", 0);
@@ -44,7 +44,7 @@
     return ticket;
   }
 
-  auto report(const call_order& order, const call_ticket& ticket, call_outcome outcome) -> call_settlement {
+  auto report(const call_request& order, const call_ticket& ticket, call_outcome outcome) -> call_settlement {
     auto made = call_settlement{order.account_, order.program_,   order.number_,
                                 ticket.epoch_,  ticket.sequence_, outcome};
     made.tokens_ = 40;
@@ -56,8 +56,8 @@
     return made;
   }
 
-  auto answer(const call_order& order, const call_ticket& ticket) -> void {
-    ledger_.accepted("notary", "p", order.number_, ticket.sequence_);
+  auto answer(const call_request& order, const call_ticket& ticket) -> void {
+    ledger_.mark_accepted("notary", "p", order.number_, ticket.sequence_);
     auto settled = ledger_.settle(report(order, ticket, call_outcome::answered), 0);
     REQUIRE(ok(settled));
     keep(value(settled).records_);
@@ -85,7 +85,7 @@
   auto owner = one_owner{};
   auto ticket = owner.send(order_of(1));
   CHECK(std::holds_alternative<open_wait>(owner.ledger_.open(order_of(2), "default", 0)));
-  CHECK(owner.ledger_.accepted("notary", "p", 1, ticket.sequence_));
+  CHECK(owner.ledger_.mark_accepted("notary", "p", 1, ticket.sequence_));
   CHECK(std::holds_alternative<open_proceed>(owner.ledger_.open(order_of(2), "default", 0)));
   CHECK(std::holds_alternative<open_wait>(owner.ledger_.open(order_of(4), "default", 0)));
 }
@@ -187,7 +187,7 @@
   owner.keep(value(owner.ledger_.settle(failed, 0)).records_);
   CHECK(std::holds_alternative<open_wait>(owner.ledger_.open(order_of(2), "default", 0)));
   auto again = owner.send(order);
-  owner.ledger_.accepted("notary", "p", 1, again.sequence_);
+  owner.ledger_.mark_accepted("notary", "p", 1, again.sequence_);
   CHECK(std::holds_alternative<open_proceed>(owner.ledger_.open(order_of(2), "default", 0)));
 }
 
@@ -215,7 +215,7 @@
 TEST_CASE("a gap that a dead owner left can be filled") {
   auto owner = one_owner{};
   auto first = owner.send(order_of(1));
-  owner.ledger_.accepted("notary", "p", 1, first.sequence_);
+  owner.ledger_.mark_accepted("notary", "p", 1, first.sequence_);
   auto second = owner.send(order_of(2));
   auto next = owner.succeed(2);
   next.answer(order_of(2), second);
@@ -280,7 +280,7 @@
   REQUIRE(records.size() == 1);
   CHECK(records.front().reason_ == "idle");
   owner.keep(records);
-  owner.ledger_.forget(1200001);
+  owner.ledger_.evict_ended(1200001);
   CHECK(owner.ledger_.size() == 0);
 }
 
