--- a/birchlever/coordination/program_keys.cpp
+++ b/birchlever/coordination/program_keys.cpp
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-auto key_name(const owned_name& identity) -> std::string {
+auto key_name(const scoped_name& identity) -> std::string {
   if (identity.account_.empty()) {
     return key_part(identity.name_);
   }
--- a/birchlever/coordination/program_keys.h
+++ b/birchlever/coordination/program_keys.h
@@ -8,14 +8,14 @@
 
 /// A program or a turn as its client account names it. The same name under two accounts is two things, and
 /// nothing of one account is found under another.
-struct owned_name {
-  owned_name() = default;
+struct scoped_name {
+  scoped_name() = default;
 
   /// Of no account: where accounts are not told apart, and in rows written before they were.
-  owned_name(const char* name) : name_{name} {}
-  owned_name(std::string name) : name_{std::move(name)} {}
+  scoped_name(const char* name) : name_{name} {}
+  scoped_name(std::string name) : name_{std::move(name)} {}
 
-  owned_name(std::string account, std::string name) : account_{std::move(account)}, name_{std::move(name)} {}
+  scoped_name(std::string account, std::string name) : account_{std::move(account)}, name_{std::move(name)} {}
 
   std::string account_;  ///< Empty where accounts are not told apart.
   std::string name_;
@@ -23,7 +23,7 @@
 
 /// An identity as part of a key: itself when it is short and plain, else its hash; behind its account's name,
 /// if it has one. No key name begins another's range of keys.
-[[nodiscard]] auto key_name(const owned_name& identity) -> std::string;
+[[nodiscard]] auto key_name(const scoped_name& identity) -> std::string;
 
 /// The key of a program's budget.
 [[nodiscard]] auto budget_key(const std::string& program) -> std::string;
--- a/birchlever/coordination/program_store.cpp
+++ b/birchlever/coordination/program_store.cpp
@@ -51,7 +51,7 @@
       settings_{settings},
       random_{static_cast<std::uint32_t>(hash_of(settings_.daemon_))} {}
 
-auto program_store::entry_of(const owned_name& program) -> entry_pointer {
+auto program_store::entry_of(const scoped_name& program) -> entry_pointer {
   return entry_named(key_name(program));
 }
 
@@ -134,7 +134,7 @@
   co_return grant;
 }
 
-auto program_store::collect_patiently(owned_name program, std::string newest, milliseconds patient_until,
+auto program_store::collect_patiently(scoped_name program, std::string newest, milliseconds patient_until,
                                       milliseconds due) -> task<result<chain>> {
   while (true) {
     auto reachable = co_await rows_->wait_until_reachable(patient_until - clock_.now());
@@ -234,7 +234,7 @@
   auto wanted = std::make_shared<change>(*loop_);
   wanted->kind_ = change::kind::settle;
   wanted->turn_ = ended.turn_;
-  wanted->turn_key_ = key_name(owned_name{ended.program_.account_, ended.turn_});
+  wanted->turn_key_ = key_name(scoped_name{ended.program_.account_, ended.turn_});
   wanted->reservation_ = ended.reservation_;
   wanted->tokens_ = ended.tokens_;
   wanted->most_tokens_ = ended.most_tokens_;
@@ -248,7 +248,7 @@
   co_return co_await wait_for(wanted, time_left);
 }
 
-auto program_store::cancel_turn(const owned_name& program, const std::string& reservation) -> void {
+auto program_store::cancel_turn(const scoped_name& program, const std::string& reservation) -> void {
   auto wanted = std::make_shared<change>(*loop_);
   wanted->kind_ = change::kind::release;
   wanted->turn_ = reservation;
--- a/birchlever/coordination/program_store.h
+++ b/birchlever/coordination/program_store.h
@@ -64,7 +64,7 @@
 
 /// A turn that wants to run.
 struct turn_order {
-  owned_name program_;                  ///< Its account also owns the turns.
+  scoped_name program_;                 ///< Its account also owns the turns.
   std::string turn_;                    ///< Its request id, unique within the account.
   std::string previous_;                ///< The turn it goes on from; empty at a start.
   std::optional<std::int64_t> budget_;  ///< Tokens that all turns of the program may generate together.
@@ -86,7 +86,7 @@
 
 /// How a turn ended.
 struct turn_end {
-  owned_name program_;
+  scoped_name program_;
   std::string turn_;
   std::string reservation_;       ///< As granted.
   std::int64_t tokens_ = 0;       ///< Handed to the caller.
@@ -112,7 +112,7 @@
   auto end_turn(turn_end ended, milliseconds time_left) -> task<status>;
 
   /// Gives back the reservation of a turn that surely did not run, in the background.
-  auto cancel_turn(const owned_name& program, const std::string& reservation) -> void;
+  auto cancel_turn(const scoped_name& program, const std::string& reservation) -> void;
 
   /// Takes the most that a turn can generate out of the program's budget, for a turn of which nothing is
   /// kept: from what was drawn before, from daemons that drew some, or from the store. What is drawn counts
@@ -123,7 +123,7 @@
   auto draw_budget(turn_order order, milliseconds time_left) -> task<result<std::int64_t>>;
 
   /// Gives back what a turn left of its draw, for turns to come. Costs no call of the store.
-  auto give_back(const owned_name& program, std::int64_t tokens) -> void;
+  auto give_back(const scoped_name& program, std::int64_t tokens) -> void;
 
   /// Hands drawn tokens to another daemon: as many as it asks for, or half of them when that is more, since
   /// its next turns need some too. What is handed over is no more ours, also when the answer is lost.
@@ -160,10 +160,10 @@
   };
 
   // program_store.cpp: what callers ask for.
-  auto entry_of(const owned_name& program) -> entry_pointer;
+  auto entry_of(const scoped_name& program) -> entry_pointer;
   auto entry_named(const std::string& name) -> entry_pointer;
-  auto collect_patiently(owned_name program, std::string newest, milliseconds patient_until, milliseconds due)
-      -> task<result<chain>>;
+  auto collect_patiently(scoped_name program, std::string newest, milliseconds patient_until,
+                         milliseconds due) -> task<result<chain>>;
   auto take_leased(entry& program, const turn_order& order) -> std::optional<std::string>;
   /// Asks the daemon that holds a reservation for it, as the program's record tells.
   auto take_leased_elsewhere(entry_pointer program, std::int64_t tokens) -> task<std::optional<std::string>>;
@@ -196,7 +196,7 @@
   auto take_rows(entry& program, const std::vector<stored_row>& rows) -> status;
   auto remember(entry& program, const std::string& turn, record_pointer record) -> void;
   [[nodiscard]] auto cached(const std::string& turn) const -> record_pointer;
-  auto collect(owned_name program, std::string newest, milliseconds time_left) -> task<result<chain>>;
+  auto collect(scoped_name program, std::string newest, milliseconds time_left) -> task<result<chain>>;
   auto fetch(std::string program, std::string turn, milliseconds time_left) -> task<result<record_pointer>>;
   auto find_program(std::string turn, milliseconds time_left) -> task<result<std::optional<std::string>>>;
 
--- a/birchlever/coordination/program_store_draw.cpp
+++ b/birchlever/coordination/program_store_draw.cpp
@@ -200,7 +200,7 @@
              {"budget", *wanted.budget_}});
 }
 
-auto program_store::give_back(const owned_name& program, std::int64_t tokens) -> void {
+auto program_store::give_back(const scoped_name& program, std::int64_t tokens) -> void {
   entry_of(program)->drawn_ += std::max<std::int64_t>(tokens, 0);
 }
 
--- a/birchlever/coordination/program_store_read.cpp
+++ b/birchlever/coordination/program_store_read.cpp
@@ -104,13 +104,13 @@
   co_return take_rows(*program, value(page).rows_);
 }
 
-auto program_store::collect(owned_name program, std::string newest, milliseconds time_left)
+auto program_store::collect(scoped_name program, std::string newest, milliseconds time_left)
     -> task<result<chain>> {
   auto due = clock_.now() + time_left;
   auto found = chain{};
   auto home = key_name(program);
   auto key_of = [&](const std::string& turn) {
-    return turn.empty() ? std::string{} : key_name(owned_name{program.account_, turn});
+    return turn.empty() ? std::string{} : key_name(scoped_name{program.account_, turn});
   };
   auto next = key_of(newest);
   while (!next.empty()) {
--- a/birchlever/gateway/turn_filter.cpp
+++ b/birchlever/gateway/turn_filter.cpp
@@ -17,7 +17,7 @@
 }
 
 /// A turn outside a program stands alone under its own id.
-auto program_of(const gateway_request& request) -> owned_name {
+auto program_of(const gateway_request& request) -> scoped_name {
   const auto& facts = request.facts_;
   auto name = facts.program_.empty() ? "single_" + facts.request_id_ : facts.program_;
   return {request.account_name(), std::move(name)};
@@ -33,7 +33,7 @@
   return longest;
 }
 
-auto turn_end_of(const gateway_request& request, const owned_name& program) -> turn_end {
+auto turn_end_of(const gateway_request& request, const scoped_name& program) -> turn_end {
   auto ended = turn_end{};
   ended.program_ = program;
   ended.turn_ = request.facts_.request_id_;
@@ -109,7 +109,7 @@
   context_->programs_->give_back(program, value(drawn) - tokens_of(request));
 }
 
-auto turn_filter::keep_answer(gateway_request& request, const owned_name& program, turn_record kept)
+auto turn_filter::keep_answer(gateway_request& request, const scoped_name& program, turn_record kept)
     -> task<bool> {
   auto ended = turn_end_of(request, program);
   kept.output_ = request.relayed_.output_;
@@ -127,7 +127,7 @@
   co_return ok(stored);
 }
 
-auto turn_filter::settle_broken(gateway_request& request, const owned_name& program) -> void {
+auto turn_filter::settle_broken(gateway_request& request, const scoped_name& program) -> void {
   auto ended = turn_end_of(request, program);
   auto programs = context_->programs_;
   auto settle = [](std::shared_ptr<program_store> store, turn_end end) -> task<> {
--- a/birchlever/gateway/turn_filter.h
+++ b/birchlever/gateway/turn_filter.h
@@ -7,7 +7,7 @@
 
 namespace birchlever {
 
-struct owned_name;
+struct scoped_name;
 struct turn_record;
 
 /// Turns of routes that keep them get their history and a reservation; others only their budget. Requests
@@ -20,8 +20,8 @@
 
  private:
   auto run_unkept(gateway_request& request, next_filter next) -> task<>;
-  auto keep_answer(gateway_request& request, const owned_name& program, turn_record kept) -> task<bool>;
-  auto settle_broken(gateway_request& request, const owned_name& program) -> void;
+  auto keep_answer(gateway_request& request, const scoped_name& program, turn_record kept) -> task<bool>;
+  auto settle_broken(gateway_request& request, const scoped_name& program) -> void;
 
   std::shared_ptr<gateway_context> context_;
 };
--- a/unit_tests/coordination/program_keys_test.cpp
+++ b/unit_tests/coordination/program_keys_test.cpp
@@ -25,8 +25,8 @@
 
 TEST_CASE("no program's rows lie in the range of keys of another one, whatever their names share") {
   auto names =
-      std::vector<owned_name>{"a",  "a-b",      "a.b",        "a!",        "a/b",       "a0",
-                              "ab", {"a", "p"}, {"a", "p-1"}, {"a", "p1"}, {"ab", "p"}, {"a-b", "p"}};
+      std::vector<scoped_name>{"a",  "a-b",      "a.b",        "a!",        "a/b",       "a0",
+                               "ab", {"a", "p"}, {"a", "p-1"}, {"a", "p1"}, {"ab", "p"}, {"a-b", "p"}};
   for (const auto& one : names) {
     for (const auto& other : names) {
       auto same = &one == &other;
@@ -37,8 +37,8 @@
 }
 
 TEST_CASE("keys stay within the platform's limit, however long the names are") {
-  auto longest = owned_name{std::string(300, 'a'), std::string(300, 'p')};
-  auto longest_plain = owned_name{std::string(30, 'a'), std::string(33, 'p')};
+  auto longest = scoped_name{std::string(300, 'a'), std::string(300, 'p')};
+  auto longest_plain = scoped_name{std::string(30, 'a'), std::string(33, 'p')};
   for (const auto& name : {longest, longest_plain}) {
     auto key = turns_prefix(key_name(name)) + key_name(name) + "/000";
     CHECK(key.size() <= most_key_bytes);
