--- a/birchlever/controllers/budget_transfer.cpp
+++ b/birchlever/controllers/budget_transfer.cpp
@@ -211,7 +211,7 @@
   if (parts.size() != expected) {
     return http_response{http::status::bad_request, 11};
   }
-  auto given = parts[2] == settings_.daemon_ && programs.hand_over_lease(parts[0], parts[1]);
+  auto given = parts[2] == settings_.daemon_ && programs.transfer_lease(parts[0], parts[1]);
   if (given) {
     log_event(log_level::info, "reservation_handed_over", {{"program", parts[0]}, {"reservation", parts[1]}});
   }
@@ -239,7 +239,7 @@
   if (!holder.empty() && holder != settings_.daemon_) {
     return http_response{http::status::gone, 11};
   }
-  auto handed = programs.hand_over(parts[0], parts[2], *tokens);
+  auto handed = programs.transfer_tokens(parts[0], parts[2], *tokens);
   if (handed.tokens_ > 0) {
     log_event(log_level::info, "budget_handed_over",
               {{"program", parts[0]}, {"to", parts[2]}, {"wanted", *tokens}, {"tokens", handed.tokens_}});
--- a/birchlever/coordination/program_store.cpp
+++ b/birchlever/coordination/program_store.cpp
@@ -18,8 +18,8 @@
 constexpr auto least_backlog_retry = milliseconds{500};  // A writer that was too late once would be so again.
 
 /// What a program has begun is carried to its end before others begin.
-auto rank_of(const turn_order& order) -> write_rank {
-  if (order.late_) {
+auto rank_of(const turn_request& order) -> write_rank {
+  if (order.overdue_) {
     return write_rank::late_program;
   }
   return order.previous_.empty() ? write_rank::begins_program : write_rank::continues_program;
@@ -88,9 +88,9 @@
   }
 }
 
-auto program_store::begin_turn(turn_order order, milliseconds time_left) -> task<result<turn_grant>> {
+auto program_store::begin_turn(turn_request order, milliseconds time_left) -> task<result<turn_grant>> {
   auto self = shared_from_this();
-  auto patience = order.patience_.value_or(settings_.begin_patience_);
+  auto patience = order.max_wait_.value_or(settings_.max_start_wait_);
   time_left = std::min(time_left, std::max(settings_.begin_limit_, patience + begin_after_wait));
   auto due = clock_.now() + time_left;
   auto patient_until = clock_.now() + std::min(patience, time_left);
@@ -106,7 +106,7 @@
   auto reserved = ok(past) ? status{success} : status{failure(past)};
   auto reservation = ok(past) ? take_leased(*program, order) : std::nullopt;
   if (ok(reserved) && !reservation) {
-    reservation = co_await take_leased_elsewhere(program, order.most_tokens_);
+    reservation = co_await take_leased_elsewhere(program, order.max_tokens_);
   }
   if (ok(reserved) && !reservation) {
     reserved = co_await reserve(program, order, due - clock_.now());
@@ -128,7 +128,7 @@
   if (!turns.empty()) {
     grant.last_upstream_ = turns.front()->upstream_;
     if (value(past).first_program_ != program->name_) {
-      grant.foreign_history_ = grant.prompt_.substr(0, grant.prompt_.size() - order.input_.size());
+      grant.inherited_history_ = grant.prompt_.substr(0, grant.prompt_.size() - order.input_.size());
     }
   }
   co_return grant;
@@ -150,13 +150,13 @@
   }
 }
 
-auto program_store::take_leased(entry& program, const turn_order& order) -> std::optional<std::string> {
+auto program_store::take_leased(entry& program, const turn_request& order) -> std::optional<std::string> {
   auto now = clock_.now();
   auto& leased = program.leased_;
   leased.erase(std::remove_if(leased.begin(), leased.end(),
                               [&](const leased_reservation& one) { return one.usable_until_ <= now; }),
                leased.end());
-  auto fits = [&](const leased_reservation& one) { return one.tokens_ >= order.most_tokens_; };
+  auto fits = [&](const leased_reservation& one) { return one.tokens_ >= order.max_tokens_; };
   auto found = std::find_if(leased.begin(), leased.end(), fits);
   if (found == leased.end()) {
     return std::nullopt;
@@ -186,7 +186,7 @@
   co_return std::nullopt;
 }
 
-auto program_store::hand_over_lease(const std::string& program_key, const std::string& reservation) -> bool {
+auto program_store::transfer_lease(const std::string& program_key, const std::string& reservation) -> bool {
   auto known = entries_.find(program_key);
   if (known == entries_.end()) {
     return false;
@@ -201,15 +201,15 @@
   return usable;
 }
 
-auto program_store::reserve(entry_pointer program, const turn_order& order, milliseconds time_left)
+auto program_store::reserve(entry_pointer program, const turn_request& order, milliseconds time_left)
     -> task<status> {
   auto wanted = std::make_shared<change>(*loop_);
   wanted->turn_ = order.turn_;
   wanted->reservation_ = order.turn_;
-  wanted->tokens_ = order.most_tokens_;
+  wanted->tokens_ = order.max_tokens_;
   wanted->budget_ = order.budget_;
   wanted->begin_rank_ = rank_of(order);
-  auto patience = order.patience_.value_or(settings_.begin_patience_);
+  auto patience = order.max_wait_.value_or(settings_.max_start_wait_);
   wanted->give_up_at_ = clock_.now() + std::min(time_left, patience);
   if (order.previous_.empty() && program->version_ == version_not_read) {
     program->version_ = version_absent;  // A first turn; a program that exists shows itself as a conflict.
@@ -227,7 +227,7 @@
   co_return reserved;
 }
 
-auto program_store::end_turn(turn_end ended, milliseconds time_left) -> task<status> {
+auto program_store::end_turn(turn_completion ended, milliseconds time_left) -> task<status> {
   auto self = shared_from_this();
   auto program = entry_of(ended.program_);
   program->begun_.erase(ended.reservation_);
@@ -237,12 +237,12 @@
   wanted->turn_key_ = key_name(scoped_name{ended.program_.account_, ended.turn_});
   wanted->reservation_ = ended.reservation_;
   wanted->tokens_ = ended.tokens_;
-  wanted->most_tokens_ = ended.most_tokens_;
-  wanted->longest_turn_ = ended.longest_turn_;
+  wanted->max_tokens_ = ended.max_tokens_;
+  wanted->max_next_duration_ = ended.max_next_duration_;
   wanted->budget_ = ended.budget_;
   wanted->give_up_at_ = clock_.now() + std::max(time_left, settings_.cleanup_patience_);
-  if (ended.whole_) {
-    wanted->whole_ = std::make_shared<const turn_record>(std::move(*ended.whole_));
+  if (ended.record_) {
+    wanted->record_ = std::make_shared<const turn_record>(std::move(*ended.record_));
   }
   queue(program, wanted);
   co_return co_await wait_for(wanted, time_left);
--- a/birchlever/coordination/program_store.h
+++ b/birchlever/coordination/program_store.h
@@ -43,7 +43,7 @@
   std::size_t row_bytes_ = 48000;  ///< Longest piece of a turn in one row; the store takes 64 KiB of base64.
   std::size_t cache_bytes_ = 4'000'000;  ///< Histories kept in memory; others are read again from the store.
   milliseconds call_limit_ = 2500;       ///< ms for one call of the store, its repetitions included.
-  milliseconds begin_patience_ = 400;    ///< ms for which a new turn waits while the store answers nothing.
+  milliseconds max_start_wait_ = 400;    ///< ms for which a new turn waits while the store answers nothing.
   milliseconds begin_limit_ =
       1800;  ///< ms for all of a turn's beginning: callers leave a stream that is silent for 2 s.
   milliseconds retry_after_ = 3000;  ///< ms after which a turn refused for want of the store may come back:
@@ -52,7 +52,7 @@
                                            ///< the next turn: pauses and tools between turns take up to 2 s.
   milliseconds lease_view_ = 100;   ///< ms for which a record that was read tells who holds a reservation.
   milliseconds lease_margin_ = 50;  ///< ms that a reservation must be usable yet to be handed over.
-  milliseconds longest_turn_ =
+  milliseconds max_turn_duration_ =
       8000;  ///< ms after the lease until another daemon takes the reservation back, or
              ///< later where turns may take longer: one that began under it has ended.
   milliseconds budget_view_ =
@@ -63,15 +63,15 @@
 };
 
 /// A turn that wants to run.
-struct turn_order {
+struct turn_request {
   scoped_name program_;                 ///< Its account also owns the turns.
   std::string turn_;                    ///< Its request id, unique within the account.
   std::string previous_;                ///< The turn it goes on from; empty at a start.
   std::optional<std::int64_t> budget_;  ///< Tokens that all turns of the program may generate together.
-  std::int64_t most_tokens_ = 0;        ///< The most that this turn generates.
+  std::int64_t max_tokens_ = 0;         ///< The most that this turn generates.
   std::string input_;
-  std::optional<milliseconds> patience_;  ///< ms for which it may wait for a store that is away; else as set.
-  bool late_ = false;                     ///< Its program should have ended already: others go first.
+  std::optional<milliseconds> max_wait_;  ///< ms for which it may wait for a store that is away; else as set.
+  bool overdue_ = false;                  ///< Its program should have ended already: others go first.
 };
 
 /// A turn that may be sent now: its budget is reserved.
@@ -80,20 +80,20 @@
   std::string prompt_;         ///< History and new input, byte for byte.
   std::string last_upstream_;  ///< The engine that ran the previous turn, if any.
   std::string
-      foreign_history_;  ///< Of a program's first turn that goes on from another program: all before its
-                         ///< input. Kept with the turn, so that no program needs another one's rows.
+      inherited_history_;  ///< Of a program's first turn that goes on from another program: all before its
+                           ///< input. Kept with the turn, so that no program needs another one's rows.
 };
 
 /// How a turn ended.
-struct turn_end {
+struct turn_completion {
   scoped_name program_;
   std::string turn_;
-  std::string reservation_;       ///< As granted.
-  std::int64_t tokens_ = 0;       ///< Handed to the caller.
-  std::int64_t most_tokens_ = 0;  ///< The most that it could generate; the next turn may need as much.
+  std::string reservation_;      ///< As granted.
+  std::int64_t tokens_ = 0;      ///< Handed to the caller.
+  std::int64_t max_tokens_ = 0;  ///< The most that it could generate; the next turn may need as much.
   std::optional<std::int64_t> budget_;
-  milliseconds longest_turn_ = 0;     ///< ms that the program's next turn may take.
-  std::optional<turn_record> whole_;  ///< Only of an answer that came whole.
+  milliseconds max_next_duration_ = 0;  ///< ms that the program's next turn may take.
+  std::optional<turn_record> record_;   ///< Only of an answer that came whole.
 };
 
 /// For coroutines of one loop. Changes of one program that wait at the same time share one transaction.
@@ -105,11 +105,11 @@
 
   /// Reads the history and reserves the budget. Failures: budget_exhausted, unknown_turn (both sure: the
   /// store was read after the request came), store_unavailable, malformed_json.
-  auto begin_turn(turn_order order, milliseconds time_left) -> task<result<turn_grant>>;
+  auto begin_turn(turn_request order, milliseconds time_left) -> task<result<turn_grant>>;
 
   /// Settles what a turn spent and, when its answer is whole, keeps it. Returns when the store has it: only
   /// then may the answer's end go out. Failures: store_unavailable; the change is tried on in the background.
-  auto end_turn(turn_end ended, milliseconds time_left) -> task<status>;
+  auto end_turn(turn_completion ended, milliseconds time_left) -> task<status>;
 
   /// Gives back the reservation of a turn that surely did not run, in the background.
   auto cancel_turn(const scoped_name& program, const std::string& reservation) -> void;
@@ -120,19 +120,19 @@
   /// drawn tokens are lost, a program may go one turn's most beyond its budget, once; then the tokens yielded
   /// may be fewer than the turn's most, and bound what may be handed out. Failures: budget_exhausted,
   /// store_unavailable (also while other daemons hold the rest), malformed_json.
-  auto draw_budget(turn_order order, milliseconds time_left) -> task<result<std::int64_t>>;
+  auto draw_budget(turn_request order, milliseconds time_left) -> task<result<std::int64_t>>;
 
   /// Gives back what a turn left of its draw, for turns to come. Costs no call of the store.
-  auto give_back(const scoped_name& program, std::int64_t tokens) -> void;
+  auto return_tokens(const scoped_name& program, std::int64_t tokens) -> void;
 
   /// Hands drawn tokens to another daemon: as many as it asks for, or half of them when that is more, since
   /// its next turns need some too. What is handed over is no more ours, also when the answer is lost.
-  auto hand_over(const std::string& program_key, const std::string& to, std::int64_t tokens)
+  auto transfer_tokens(const std::string& program_key, const std::string& to, std::int64_t tokens)
       -> transferred_tokens;
 
   /// Gives a reservation that is held here for a program's next turn to the daemon where that turn came.
   /// False when it is not held, or not for long enough.
-  auto hand_over_lease(const std::string& program_key, const std::string& reservation) -> bool;
+  auto transfer_lease(const std::string& program_key, const std::string& reservation) -> bool;
 
   /// Where tokens are asked for that other daemons drew. Without peers only the store is asked.
   auto set_budget_peers(std::shared_ptr<budget_peers> peers) -> void { budget_peers_ = std::move(peers); }
@@ -164,21 +164,21 @@
   auto entry_named(const std::string& name) -> entry_pointer;
   auto collect_patiently(scoped_name program, std::string newest, milliseconds patient_until,
                          milliseconds due) -> task<result<chain>>;
-  auto take_leased(entry& program, const turn_order& order) -> std::optional<std::string>;
+  auto take_leased(entry& program, const turn_request& order) -> std::optional<std::string>;
   /// Asks the daemon that holds a reservation for it, as the program's record tells.
   auto take_leased_elsewhere(entry_pointer program, std::int64_t tokens) -> task<std::optional<std::string>>;
-  auto reserve(entry_pointer program, const turn_order& order, milliseconds time_left) -> task<status>;
+  auto reserve(entry_pointer program, const turn_request& order, milliseconds time_left) -> task<status>;
   auto queue(const entry_pointer& program, change_pointer wanted) -> void;
   auto wait_for(change_pointer wanted, milliseconds time_left) -> task<status>;
   auto shrink() -> void;
   [[nodiscard]] auto store_away(const std::string& detail) const -> error;
 
   // program_store_draw.cpp: budgets drawn in advance.
-  auto draw_for(entry_pointer program, const turn_order& order, milliseconds time_left)
+  auto draw_for(entry_pointer program, const turn_request& order, milliseconds time_left)
       -> task<result<std::int64_t>>;
-  auto draw_without_store(entry_pointer program, const turn_order& order, error reason)
+  auto draw_without_store(entry_pointer program, const turn_request& order, error reason)
       -> task<result<std::int64_t>>;
-  auto draw_from_store(entry_pointer program, const turn_order& order, milliseconds time_left)
+  auto draw_from_store(entry_pointer program, const turn_request& order, milliseconds time_left)
       -> task<status>;
   [[nodiscard]] auto least_of(std::int64_t most) const -> std::int64_t;
   auto add_allowance(entry_pointer program, std::int64_t tokens) -> task<>;
--- a/birchlever/coordination/program_store_draw.cpp
+++ b/birchlever/coordination/program_store_draw.cpp
@@ -26,9 +26,9 @@
   return taken;
 }
 
-auto program_store::draw_budget(turn_order order, milliseconds time_left) -> task<result<std::int64_t>> {
+auto program_store::draw_budget(turn_request order, milliseconds time_left) -> task<result<std::int64_t>> {
   if (!order.budget_) {
-    co_return order.most_tokens_;
+    co_return order.max_tokens_;
   }
   auto self = shared_from_this();
   auto program = entry_of(order.program_);
@@ -39,9 +39,9 @@
   co_return drawn;
 }
 
-auto program_store::draw_for(entry_pointer program, const turn_order& order, milliseconds time_left)
+auto program_store::draw_for(entry_pointer program, const turn_request& order, milliseconds time_left)
     -> task<result<std::int64_t>> {
-  auto most = order.most_tokens_;
+  auto most = order.max_tokens_;
   auto due = clock_.now() + time_left;
   while (true) {
     // Turns of the program that begin at the same time may take what this one has drawn; then it draws again.
@@ -75,9 +75,9 @@
   return static_cast<std::int64_t>(settings_.least_drawn_ * static_cast<double>(most));
 }
 
-auto program_store::draw_without_store(entry_pointer program, const turn_order& order, error reason)
+auto program_store::draw_without_store(entry_pointer program, const turn_request& order, error reason)
     -> task<result<std::int64_t>> {
-  auto most = order.most_tokens_;
+  auto most = order.max_tokens_;
   if (program->drawn_ < most) {
     auto whoever_is_near = std::vector<std::string>{};
     co_await ask_peers(program, std::move(whoever_is_near), most);
@@ -135,7 +135,7 @@
   co_return handed;
 }
 
-auto program_store::draw_from_store(entry_pointer program, const turn_order& order, milliseconds time_left)
+auto program_store::draw_from_store(entry_pointer program, const turn_request& order, milliseconds time_left)
     -> task<status> {
   if (!rows_->reachable()) {
     co_return store_away("the store does not answer");
@@ -144,10 +144,10 @@
   wanted->kind_ = change::kind::draw;
   wanted->turn_ = order.turn_;
   wanted->reservation_ = order.turn_ + "#" + std::to_string(++draws_);  // A turn may draw more than once.
-  wanted->tokens_ = std::max<std::int64_t>(order.most_tokens_ - program->drawn_, 0);
-  wanted->most_tokens_ = order.most_tokens_;
+  wanted->tokens_ = std::max<std::int64_t>(order.max_tokens_ - program->drawn_, 0);
+  wanted->max_tokens_ = order.max_tokens_;
   wanted->budget_ = order.budget_;
-  wanted->give_up_at_ = clock_.now() + std::min(time_left, settings_.begin_patience_);
+  wanted->give_up_at_ = clock_.now() + std::min(time_left, settings_.max_start_wait_);
   if (program->version_ == version_not_read) {
     program->version_ = version_absent;  // Mostly a first turn; a program that exists shows as a conflict.
   }
@@ -177,7 +177,7 @@
   if (auto refused = refusal_of(program, wanted, record)) {
     return *refused;
   }
-  auto left = std::max<std::int64_t>(*wanted.budget_ - record.committed() - drawn - wanted.most_tokens_, 0);
+  auto left = std::max<std::int64_t>(*wanted.budget_ - record.committed() - drawn - wanted.max_tokens_, 0);
   drawn += static_cast<std::int64_t>(settings_.draw_ahead_ * static_cast<double>(left));
   auto& ours = record.drawn_[settings_.daemon_];
   record.spent_ += drawn;
@@ -200,12 +200,12 @@
              {"budget", *wanted.budget_}});
 }
 
-auto program_store::give_back(const scoped_name& program, std::int64_t tokens) -> void {
+auto program_store::return_tokens(const scoped_name& program, std::int64_t tokens) -> void {
   entry_of(program)->drawn_ += std::max<std::int64_t>(tokens, 0);
 }
 
-auto program_store::hand_over(const std::string& program_key, const std::string& to, std::int64_t tokens)
-    -> transferred_tokens {
+auto program_store::transfer_tokens(const std::string& program_key, const std::string& to,
+                                    std::int64_t tokens) -> transferred_tokens {
   auto handed = transferred_tokens{};
   auto found = entries_.find(program_key);
   if (found == entries_.end()) {
--- a/birchlever/coordination/program_store_state.h
+++ b/birchlever/coordination/program_store_state.h
@@ -38,7 +38,7 @@
 
   /// How urgent its write is.
   [[nodiscard]] auto rank() const -> write_rank {
-    if (kind_ == kind::settle && whole_) {
+    if (kind_ == kind::settle && record_) {
       return write_rank::ends_turn;
     }
     if (begins_turn()) {
@@ -53,10 +53,10 @@
   std::string turn_key_;  ///< As it stands in keys; of a settled turn.
   std::string reservation_;
   std::int64_t tokens_ = 0;
-  std::int64_t most_tokens_ = 0;
-  milliseconds longest_turn_ = 0;
+  std::int64_t max_tokens_ = 0;
+  milliseconds max_next_duration_ = 0;
   std::optional<std::int64_t> budget_;
-  std::shared_ptr<const turn_record> whole_;
+  std::shared_ptr<const turn_record> record_;
   milliseconds give_up_at_ = 0;
   bool sent_ = false;       ///< A transaction with it went out, so it may have been done.
   bool expired_ = false;    ///< Its caller has left.
--- a/birchlever/coordination/program_store_write.cpp
+++ b/birchlever/coordination/program_store_write.cpp
@@ -108,7 +108,7 @@
   auto held = reserved != record.reserved_.end();
   if (!held && wanted.sent_) {
     // Made by a transaction without an answer, or its lease was over and the reservation was taken back.
-    if (!wanted.whole_ || program.turns_.count(wanted.turn_key_) != 0) {
+    if (!wanted.record_ || program.turns_.count(wanted.turn_key_) != 0) {
       return verdict::done_before;
     }
     if (!wanted.looked_up_) {
@@ -144,14 +144,14 @@
   auto held = program.leased_.size() + planned.leased_.size();
   auto& record = planned.record_;
   // Room for one turn through another daemon stays, so that a lease seldom makes that one wait.
-  auto fits = settled.budget_ && record.committed() + 2 * settled.most_tokens_ <= *settled.budget_;
-  if (!settled.whole_ || !fits || !store_clock_known_ || held >= settings_.most_leased_) {
+  auto fits = settled.budget_ && record.committed() + 2 * settled.max_tokens_ <= *settled.budget_;
+  if (!settled.record_ || !fits || !store_clock_known_ || held >= settings_.most_leased_) {
     return;
   }
   auto usable_until = clock_.now() + settings_.reservation_lease_;
-  auto next = leased_reservation{settled.turn_key_ + lease_sign + settings_.daemon_, settled.most_tokens_,
+  auto next = leased_reservation{settled.turn_key_ + lease_sign + settings_.daemon_, settled.max_tokens_,
                                  usable_until - store_clock_error_};
-  auto longest_turn = std::max(settings_.longest_turn_, settled.longest_turn_);
+  auto longest_turn = std::max(settings_.max_turn_duration_, settled.max_next_duration_);
   auto expires_at = usable_until + store_clock_ahead_ + longest_turn;
   record.reserved_[next.name_] = {next.tokens_, expires_at};
   planned.leased_.push_back(std::move(next));
@@ -159,7 +159,7 @@
 
 auto program_store::add_turn_rows(const entry& program, const change& wanted,
                                   row_transaction& transaction) const -> void {
-  auto bytes = encode(*wanted.whole_);
+  auto bytes = encode(*wanted.record_);
   const auto& turn = wanted.turn_key_;
   auto piece = 0;
   for (auto at = std::size_t{0}; at < bytes.size(); at += settings_.row_bytes_) {
@@ -201,7 +201,7 @@
     }
     planned.writes_ = true;
     planned.transaction_.rank_ = std::min(planned.transaction_.rank_, wanted->rank());
-    if (wanted->whole_) {
+    if (wanted->record_) {
       add_turn_rows(program, *wanted, planned.transaction_);
     }
     if (wanted->kind_ == change::kind::settle) {
@@ -222,8 +222,8 @@
 auto program_store::conclude(entry& program, const batch_plan& planned) -> void {
   program.leased_.insert(program.leased_.end(), planned.leased_.begin(), planned.leased_.end());
   for (const auto& [wanted, what] : planned.changes_) {
-    if (wanted->whole_) {
-      remember(program, wanted->turn_key_, wanted->whole_);
+    if (wanted->record_) {
+      remember(program, wanted->turn_key_, wanted->record_);
     }
     if (wanted->kind_ == change::kind::draw) {
       conclude_draw(program, *wanted, what, planned.record_);
--- a/birchlever/gateway/turn_filter.cpp
+++ b/birchlever/gateway/turn_filter.cpp
@@ -33,15 +33,15 @@
   return longest;
 }
 
-auto turn_end_of(const gateway_request& request, const scoped_name& program) -> turn_end {
-  auto ended = turn_end{};
+auto turn_end_of(const gateway_request& request, const scoped_name& program) -> turn_completion {
+  auto ended = turn_completion{};
   ended.program_ = program;
   ended.turn_ = request.facts_.request_id_;
   ended.reservation_ = request.reservation_;
   ended.tokens_ = tokens_of(request);
-  ended.most_tokens_ = request.facts_.most_tokens_;
+  ended.max_tokens_ = request.facts_.most_tokens_;
   ended.budget_ = request.facts_.budget_;
-  ended.longest_turn_ = longest_turn(*request.configuration_);
+  ended.max_next_duration_ = longest_turn(*request.configuration_);
   return ended;
 }
 
@@ -53,17 +53,17 @@
     co_return;
   }
   auto program = program_of(request);
-  auto order = turn_order{program,
-                          request.facts_.request_id_,
-                          request.facts_.previous_turn_,
-                          request.facts_.budget_,
-                          request.facts_.most_tokens_,
-                          request.message_.body()};
+  auto order = turn_request{program,
+                            request.facts_.request_id_,
+                            request.facts_.previous_turn_,
+                            request.facts_.budget_,
+                            request.facts_.most_tokens_,
+                            request.message_.body()};
   auto input = request.message_.body();
   auto began = context_->clock_.now();
   auto patient_until = request.received_at_ + stream_patience(request, context_->trust_.stream_hold_ms_);
-  order.patience_ = std::max<milliseconds>(patient_until - began, 0);
-  order.late_ = request.facts_.program_time_left_ && *request.facts_.program_time_left_ <= 0;
+  order.max_wait_ = std::max<milliseconds>(patient_until - began, 0);
+  order.overdue_ = request.facts_.program_time_left_ && *request.facts_.program_time_left_ <= 0;
   auto granted = co_await context_->programs_->begin_turn(std::move(order), request.due_ - began);
   context_->metrics_->observe("turn_begin_ms", static_cast<double>(context_->clock_.now() - began));
   if (!ok(granted)) {
@@ -74,7 +74,7 @@
   request.message_.body() = std::move(value(granted).prompt_);
   request.last_upstream_ = std::move(value(granted).last_upstream_);
   request.reservation_ = std::move(value(granted).reservation_);
-  const auto& foreign = value(granted).foreign_history_;
+  const auto& foreign = value(granted).inherited_history_;
   auto kept =
       turn_record{foreign.empty() ? request.facts_.previous_turn_ : std::string{}, foreign + input, "", ""};
   request.before_end_ = [this, program, kept = std::move(kept)](gateway_request& ended) {
@@ -95,7 +95,7 @@
   }
   auto program = program_of(request);
   auto most = request.facts_.most_tokens_;
-  auto order = turn_order{program, request.facts_.request_id_, "", request.facts_.budget_, most, ""};
+  auto order = turn_request{program, request.facts_.request_id_, "", request.facts_.budget_, most, ""};
   auto began = context_->clock_.now();
   auto drawn = co_await context_->programs_->draw_budget(std::move(order), request.due_ - began);
   context_->metrics_->observe("turn_begin_ms", static_cast<double>(context_->clock_.now() - began));
@@ -106,7 +106,7 @@
   }
   request.granted_tokens_ = value(drawn);
   co_await next(request);
-  context_->programs_->give_back(program, value(drawn) - tokens_of(request));
+  context_->programs_->return_tokens(program, value(drawn) - tokens_of(request));
 }
 
 auto turn_filter::keep_answer(gateway_request& request, const scoped_name& program, turn_record kept)
@@ -114,7 +114,7 @@
   auto ended = turn_end_of(request, program);
   kept.output_ = request.relayed_.output_;
   kept.upstream_ = request.relayed_.upstream_;
-  ended.whole_ = std::move(kept);
+  ended.record_ = std::move(kept);
   auto began = context_->clock_.now();
   auto stored = co_await context_->programs_->end_turn(std::move(ended), request.due_ - began);
   context_->metrics_->observe("turn_end_ms", static_cast<double>(context_->clock_.now() - began));
@@ -130,7 +130,7 @@
 auto turn_filter::settle_broken(gateway_request& request, const scoped_name& program) -> void {
   auto ended = turn_end_of(request, program);
   auto programs = context_->programs_;
-  auto settle = [](std::shared_ptr<program_store> store, turn_end end) -> task<> {
+  auto settle = [](std::shared_ptr<program_store> store, turn_completion end) -> task<> {
     constexpr auto patience_ms = milliseconds{60000};
     auto settled = co_await store->end_turn(std::move(end), patience_ms);
     if (!ok(settled)) {
--- a/birchlever_daemon/gateway_daemon.cpp
+++ b/birchlever_daemon/gateway_daemon.cpp
@@ -80,7 +80,7 @@
   program_settings.daemon_ = incarnation_name();
   program_settings.draw_ahead_ = settings_.draw_ahead_;
   program_settings.cache_bytes_ = static_cast<std::size_t>(settings_.history_cache_bytes_);
-  program_settings.begin_patience_ = settings_.store_patience_ms_;
+  program_settings.max_start_wait_ = settings_.store_patience_ms_;
   program_settings.retry_after_ = settings_.store_retry_ms_;
   auto programs = program_store::create(loop_, store_, program_settings);
   if (!ok(programs)) {
--- a/unit_tests/coordination/budget_draw_test.cpp
+++ b/unit_tests/coordination/budget_draw_test.cpp
@@ -52,7 +52,7 @@
     auto settings = program_store_settings{};
     settings.daemon_ = name;
     settings.draw_ahead_ = draw_ahead_;
-    settings.begin_patience_ = patience_;
+    settings.max_start_wait_ = patience_;
     settings.call_limit_ = patience_;
     auto store = value(program_store::create(loop_, rows_, settings));
     store->set_budget_peers(std::make_shared<fleet_peers>(*this, name));
@@ -78,7 +78,7 @@
     auto begun = 0;
     auto open = turns;
     auto begin = [&](std::string turn) -> task<> {
-      auto order = turn_order{"p", std::move(turn), "", budget, most_tokens, ""};
+      auto order = turn_request{"p", std::move(turn), "", budget, most_tokens, ""};
       auto drawn = co_await daemons_.at(name)->draw_budget(std::move(order), 5 * patience_);
       begun += ok(drawn) ? 1 : 0;
       --open;
@@ -98,7 +98,7 @@
       return std::nullopt;
     }
     auto handed = std::min(tokens, value(drawn));
-    daemons_.at(name)->give_back("p", value(drawn) - handed);
+    daemons_.at(name)->return_tokens("p", value(drawn) - handed);
     return handed;
   }
 
@@ -134,7 +134,7 @@
     if (fleet_->cut_from_peers_ || found == fleet_->daemons_.end()) {
       handed.unaccounted_ = true;
     } else if (holder != asker_) {
-      auto got = found->second->hand_over(program_key, asker_, tokens);
+      auto got = found->second->transfer_tokens(program_key, asker_, tokens);
       handed.tokens_ += fleet_->lose_handed_ ? 0 : got.tokens_;
       handed.recipients_.insert(handed.recipients_.end(), got.recipients_.begin(), got.recipients_.end());
       handed.unaccounted_ = handed.unaccounted_ || fleet_->lose_handed_;
--- a/unit_tests/coordination/program_store_test.cpp
+++ b/unit_tests/coordination/program_store_test.cpp
@@ -28,9 +28,9 @@
 
   auto end(program_store& daemon, const std::string& turn, const std::string& previous,
            const turn_grant& grant, std::int64_t budget, std::int64_t tokens) -> status {
-    auto ended =
-        turn_end{"p", turn, grant.reservation_, tokens, most_tokens, budget, longest_turn_, std::nullopt};
-    ended.whole_ = turn_record{previous, "input of " + turn, "output of " + turn, "engine-1"};
+    auto ended = turn_completion{"p",         turn,   grant.reservation_, tokens,
+                                 most_tokens, budget, max_next_duration_, std::nullopt};
+    ended.record_ = turn_record{previous, "input of " + turn, "output of " + turn, "engine-1"};
     return run_to_end(loop_, daemon.end_turn(std::move(ended), patience));
   }
 
@@ -46,7 +46,7 @@
 
   auto run_for(milliseconds duration) -> void { run_loop_for(loop_, duration); }
 
-  milliseconds longest_turn_ = 0;  ///< As the next turns are told.
+  milliseconds max_next_duration_ = 0;  ///< As the next turns are told.
   event_loop loop_{1};
   std::shared_ptr<memory_row_store> rows_;
   std::shared_ptr<program_store> here_;
@@ -56,7 +56,7 @@
 auto short_leases() -> program_store_settings {
   auto settings = program_store_settings{};
   settings.reservation_lease_ = 60;
-  settings.longest_turn_ = 30;
+  settings.max_turn_duration_ = 30;
   return settings;
 }
 
@@ -67,7 +67,7 @@
   fleet.turn(*fleet.here_, "t1", "", tight_budget);
   auto held_up = fleet.begin(*fleet.here_, "t2", "t1", tight_budget);
   REQUIRE(ok(held_up));
-  fleet.run_for(short_leases().reservation_lease_ + short_leases().longest_turn_ + 20);
+  fleet.run_for(short_leases().reservation_lease_ + short_leases().max_turn_duration_ + 20);
   REQUIRE(ok(fleet.begin(*fleet.there_, "t3", "t1", tight_budget)));
   REQUIRE(ok(fleet.begin(*fleet.there_, "t4", "t1", tight_budget)));
   return value(held_up);
@@ -106,14 +106,14 @@
     "what another daemon may still use is no spent budget: the refusal is 503 until the lease is over") {
   auto settings = program_store_settings{};
   settings.reservation_lease_ = 60;
-  settings.longest_turn_ = 60;
+  settings.max_turn_duration_ = 60;
   auto fleet = two_daemons{settings};
   constexpr auto budget = std::int64_t{120};  // One turn spent, one leased here: room for one more.
   fleet.turn(*fleet.here_, "t1", "", budget);
   auto second = fleet.begin(*fleet.there_, "t2", "t1", budget);
   REQUIRE(ok(second));
   CHECK(code_of(fleet.begin(*fleet.there_, "t3", "t1", budget)) == error_code::store_unavailable);
-  fleet.run_for(settings.reservation_lease_ + settings.longest_turn_ + 20);
+  fleet.run_for(settings.reservation_lease_ + settings.max_turn_duration_ + 20);
   CHECK(ok(fleet.begin(*fleet.there_, "t3", "t1", budget)));
   CHECK(code_of(fleet.begin(*fleet.here_, "t4", "t1", budget)) == error_code::budget_exhausted);
 }
@@ -133,10 +133,10 @@
 
 TEST_CASE("a leased reservation outlives the longest turn that may have begun under it") {
   auto fleet = two_daemons{short_leases()};
-  fleet.longest_turn_ = 60000;
+  fleet.max_next_duration_ = 60000;
   fleet.turn(*fleet.here_, "t1", "", tight_budget);
   REQUIRE(ok(fleet.begin(*fleet.there_, "t2", "t1", tight_budget)));
-  fleet.run_for(short_leases().reservation_lease_ + short_leases().longest_turn_ + 20);
+  fleet.run_for(short_leases().reservation_lease_ + short_leases().max_turn_duration_ + 20);
   CHECK(code_of(fleet.begin(*fleet.there_, "t3", "t1", tight_budget)) == error_code::store_unavailable);
 }
 
@@ -210,13 +210,13 @@
     "lost") {
   auto fleet = two_daemons{};
   auto order = [](const std::string& account, const std::string& turn, const std::string& previous) {
-    return turn_order{{account, "p"}, turn, previous, 200, most_tokens, turn + " of " + account + ";"};
+    return turn_request{{account, "p"}, turn, previous, 200, most_tokens, turn + " of " + account + ";"};
   };
   auto finish = [&](program_store& daemon, const std::string& account, const std::string& turn,
                     const turn_grant& grant) {
-    auto ended =
-        turn_end{{account, "p"}, turn, grant.reservation_, most_tokens, most_tokens, 200, 0, std::nullopt};
-    ended.whole_ = turn_record{"", turn + " of " + account + ";", "out of " + account + ";", "engine-1"};
+    auto ended = turn_completion{{account, "p"}, turn, grant.reservation_, most_tokens, most_tokens, 200, 0,
+                                 std::nullopt};
+    ended.record_ = turn_record{"", turn + " of " + account + ";", "out of " + account + ";", "engine-1"};
     REQUIRE(ok(run_to_end(fleet.loop_, daemon.end_turn(std::move(ended), patience))));
   };
   auto of_blue = run_to_end(fleet.loop_, fleet.here_->begin_turn(order("blue", "t1", ""), patience));
@@ -243,7 +243,7 @@
 TEST_CASE("a budget of one account is not spent by an equal program of another") {
   auto fleet = two_daemons{};
   auto order = [](const std::string& account, const std::string& turn) {
-    return turn_order{{account, "p"}, turn, "", most_tokens, most_tokens, "in"};
+    return turn_request{{account, "p"}, turn, "", most_tokens, most_tokens, "in"};
   };
   REQUIRE(ok(run_to_end(fleet.loop_, fleet.here_->begin_turn(order("blue", "t1"), patience))));
   REQUIRE(ok(run_to_end(fleet.loop_, fleet.there_->begin_turn(order("green", "t1"), patience))));
@@ -266,7 +266,7 @@
       -> task<bool> override {
     ++asked_;
     last_holder_ = std::move(holder);
-    auto given = reached_ && other_->hand_over_lease(program_key, reservation);
+    auto given = reached_ && other_->transfer_lease(program_key, reservation);
     co_return given && !answer_lost_;
   }
 
@@ -339,7 +339,7 @@
   auto fleet = two_daemons{};
   fleet.turn(*fleet.here_, "t1", "", 1000);
   CHECK(ok(fleet.begin(*fleet.there_, "t2", "t1", 1000)));
-  auto of_account = turn_order{{"blue", "p"}, "t2", "t1", 1000, most_tokens, "in"};
+  auto of_account = turn_request{{"blue", "p"}, "t2", "t1", 1000, most_tokens, "in"};
   auto begun = run_to_end(fleet.loop_, fleet.there_->begin_turn(std::move(of_account), patience));
   CHECK(code_of(begun) == error_code::unknown_turn);
 }
--- a/unit_tests/coordination/program_sweeper_test.cpp
+++ b/unit_tests/coordination/program_sweeper_test.cpp
@@ -30,8 +30,8 @@
   auto turn(const std::string& program, const std::string& id, const std::string& previous) -> void {
     auto granted = run_to_end(loop_, programs_->begin_turn({program, id, previous, 1000, 10, "in"}, 1000));
     REQUIRE(ok(granted));
-    auto ended = turn_end{program, id, value(granted).reservation_,       10, 10,
-                          1000,    0,  turn_record{previous, "in", "out"}};
+    auto ended = turn_completion{program, id, value(granted).reservation_,       10, 10,
+                                 1000,    0,  turn_record{previous, "in", "out"}};
     REQUIRE(ok(run_to_end(loop_, programs_->end_turn(std::move(ended), 1000))));
   }
 
@@ -109,7 +109,7 @@
   auto fresh = value(program_store::create(store.loop_, store.rows_, {}));
   for (auto number = 0; number < 200; ++number) {
     auto name = "a" + std::to_string(number) + "-b";
-    auto goes_on = turn_order{name, "next", "sa" + std::to_string(number), 1000000, 10, "in"};
+    auto goes_on = turn_request{name, "next", "sa" + std::to_string(number), 1000000, 10, "in"};
     CHECK(ok(run_to_end(store.loop_, fresh->begin_turn(std::move(goes_on), 1000))));
   }
 }
