--- a/birchlever/coordination/serving_configuration.h
+++ b/birchlever/coordination/serving_configuration.h
@@ -34,13 +34,13 @@
   std::string path_prefix_;  ///< Begins and ends with a slash.
   route_kind kind_ = route_kind::unsafe;
   std::vector<weighted_service> services_;
-  milliseconds time_limit_ = 0;  ///< The longest time a request is held; 0 means none is set.
-  milliseconds objective_ = 0;   ///< An answer within this time is worth most.
-  milliseconds longest_silence_ =
+  milliseconds time_limit_ = 0;         ///< The longest time a request is held; 0 means none is set.
+  milliseconds latency_objective_ = 0;  ///< An answer within this time is worth most.
+  milliseconds stream_idle_timeout_ =
       0;                        ///< Callers leave a stream in which nothing comes for so long; 0: not known.
   int rank_ = 0;                ///< 0 is the most urgent.
   int max_upstreams_ = 1;       ///< Upstreams on which one request may run.
-  bool keeps_turns_ = false;    ///< A turn brings only its new input; the history is kept here.
+  bool retains_turns_ = false;  ///< A turn brings only its new input; the history is kept here.
   bool resumable_ = false;      ///< A stream that broke may go on at another upstream, behind a given event.
   milliseconds retention_ = 0;  ///< How long a turn's history is kept after its answer.
   bool public_ = false;         ///< Needs no key of a client account.
@@ -60,8 +60,9 @@
   std::string health_path_;
   std::int64_t max_connections_ = 0;  ///< An upstream takes from all callers together; 0 means not known.
   std::optional<engine_capacity> engine_;
-  double cold_per_s_ = 0;        ///< Requests a second that an upstream bears after its start; 0: no bound.
-  milliseconds cold_start_ = 0;  ///< For so long.
+  double cold_requests_per_s_ =
+      0;  ///< Requests a second that an upstream bears after its start; 0: no bound.
+  milliseconds cold_duration_ = 0;  ///< For so long.
 };
 
 /// A whole configuration. Versions rise, not always by one.
--- a/birchlever/gateway/allotment_filter.cpp
+++ b/birchlever/gateway/allotment_filter.cpp
@@ -12,7 +12,7 @@
 /// The first turn of a program; its sub-agents go on from its turns. A request outside programs stands alone.
 auto begins_program(const gateway_request& request) -> bool {
   const auto& facts = request.facts_;
-  return facts.program_.empty() || (request.route_->keeps_turns_ && facts.previous_turn_.empty());
+  return facts.program_.empty() || (request.route_->retains_turns_ && facts.previous_turn_.empty());
 }
 
 }  // namespace
--- a/birchlever/gateway/caller_patience.cpp
+++ b/birchlever/gateway/caller_patience.cpp
@@ -15,7 +15,7 @@
 auto stream_patience(const gateway_request& request, milliseconds least) -> milliseconds {
   auto time = static_cast<double>(request.due_ - request.received_at_);
   auto by_time = static_cast<milliseconds>(held_share * time);
-  auto by_silence = request.route_->longest_silence_ - silence_margin_ms;
+  auto by_silence = request.route_->stream_idle_timeout_ - silence_margin_ms;
   return std::max(least, std::min(by_time, by_silence));
 }
 
--- a/birchlever/gateway/turn_filter.cpp
+++ b/birchlever/gateway/turn_filter.cpp
@@ -28,7 +28,7 @@
   auto longest = milliseconds{0};
   for (const auto& one : configuration.routes_) {
     auto limit = one.time_limit_ > 0 ? one.time_limit_ : unlimited_ms;
-    longest = one.keeps_turns_ ? std::max(longest, limit) : longest;
+    longest = one.retains_turns_ ? std::max(longest, limit) : longest;
   }
   return longest;
 }
@@ -48,7 +48,7 @@
 }  // namespace
 
 auto turn_filter::apply(gateway_request& request, next_filter next) -> task<> {
-  if (!request.route_->keeps_turns_) {
+  if (!request.route_->retains_turns_) {
     co_await run_unkept(request, std::move(next));
     co_return;
   }
--- a/birchlever/gateway/upstream_dispatch.cpp
+++ b/birchlever/gateway/upstream_dispatch.cpp
@@ -55,7 +55,7 @@
   wish.parts_ = request.facts_.parts_;
   wish.program_ = request.facts_.program_;
   wish.last_upstream_ = request.last_upstream_;
-  if (context_->home_upstreams_ && !request.route_->keeps_turns_) {
+  if (context_->home_upstreams_ && !request.route_->retains_turns_) {
     wish.home_subject_ = request.facts_.program_;
   }
   wish.seed_ = hash_of(request.facts_.request_id_);
@@ -66,7 +66,7 @@
     wish.most_here_ = static_cast<int>(std::max<std::int64_t>(share, least_share));
   }
   if (service != nullptr) {
-    wish.cold_start_ = {service->cold_per_s_, context_->daemons_, service->cold_start_};
+    wish.cold_start_ = {service->cold_requests_per_s_, context_->daemons_, service->cold_duration_};
   }
   wish.regions_.add(request.route_->allowed_regions_);
   if (request.account_ != nullptr) {
--- a/unit_tests/gateway/caller_patience_test.cpp
+++ b/unit_tests/gateway/caller_patience_test.cpp
@@ -8,7 +8,7 @@
 
 auto patience_of(milliseconds time, milliseconds silence) -> milliseconds {
   auto taken = route{};
-  taken.longest_silence_ = silence;
+  taken.stream_idle_timeout_ = silence;
   auto request = gateway_request{};
   request.route_ = &taken;
   request.received_at_ = 100;
--- a/unit_tests/gateway/gateway_fixture.cpp
+++ b/unit_tests/gateway/gateway_fixture.cpp
@@ -23,7 +23,7 @@
   made.services_ = {{service, 1}};
   made.time_limit_ = 1500;
   made.max_upstreams_ = 2;
-  made.keeps_turns_ = keeps;
+  made.retains_turns_ = keeps;
   made.retention_ = 60000;
   return made;
 }
--- a/unit_tests/platform/decode_test.cpp
+++ b/unit_tests/platform/decode_test.cpp
@@ -192,8 +192,8 @@
   REQUIRE(ok(decoded));
   CHECK(value(decoded).routes_[0].allowed_regions_ == std::vector<std::string>{"north"});
   CHECK(value(decoded).accounts_->find("n")->allowed_regions_.size() == 2);
-  CHECK(value(decoded).find_service("s")->cold_per_s_ == 32);
-  CHECK(value(decoded).find_service("s")->cold_start_ == 3000);
+  CHECK(value(decoded).find_service("s")->cold_requests_per_s_ == 32);
+  CHECK(value(decoded).find_service("s")->cold_duration_ == 3000);
 }
 
 TEST_CASE("a route says whether its streams may be resumed") {
