--- a/birchlever/controllers/owner_gateway.cpp
+++ b/birchlever/controllers/owner_gateway.cpp
@@ -61,7 +61,7 @@
 }
 
 auto owner_gateway::heard(std::int64_t generation) -> void {
-  context_->configuration_->heard(generation);
+  context_->configuration_->record_seen(generation);
 }
 
 template <class Reply, class Local, class Remote>
--- a/birchlever/coordination/versioned_configuration.cpp
+++ b/birchlever/coordination/versioned_configuration.cpp
@@ -68,7 +68,7 @@
   }
 }
 
-auto versioned_configuration::heard(std::int64_t generation) -> bool {
+auto versioned_configuration::record_seen(std::int64_t generation) -> bool {
   auto lock = std::lock_guard{mutex_};
   heard_ = std::max(heard_, generation);
   return heard_ > current_.generation_;
@@ -151,7 +151,7 @@
   return current_.generation_;
 }
 
-auto versioned_configuration::fresh() const -> bool {
+auto versioned_configuration::is_up_to_date() const -> bool {
   auto lock = std::lock_guard{mutex_};
   auto in_time = looked_at_ && clock_->now() - *looked_at_ <= bound_;
   return in_time && (heard_ <= current_.generation_);
--- a/birchlever/coordination/versioned_configuration.h
+++ b/birchlever/coordination/versioned_configuration.h
@@ -35,7 +35,7 @@
   auto observe(const std::optional<table_row>& row, milliseconds look_began) -> bool;
 
   /// Another process has seen this generation; true when it is newer than ours, so looking is worthwhile.
-  auto heard(std::int64_t generation) -> bool;
+  auto record_seen(std::int64_t generation) -> bool;
 
   /// Proposes the document that follows the expected generation. A lost answer is resolved by reading the
   /// generation's own row. Failures: configuration_conflict (names the winner), store_unknown.
@@ -49,7 +49,7 @@
   [[nodiscard]] auto generation() const -> std::int64_t;
 
   /// True when a look at the store within the bound shows that what we know is in force.
-  [[nodiscard]] auto fresh() const -> bool;
+  [[nodiscard]] auto is_up_to_date() const -> bool;
 
  private:
   versioned_configuration(std::shared_ptr<table_store_interface> store,
--- a/birchlever/filters/admission_filter.cpp
+++ b/birchlever/filters/admission_filter.cpp
@@ -28,7 +28,7 @@
     return refuse(context, refusal(error_code::stopping, "this daemon is stopping; ask another"));
   }
   auto bounded = test_switches::instance().mechanism_on("configuration_bound");
-  if (bounded && !context_->configuration_->fresh()) {
+  if (bounded && !context_->configuration_->is_up_to_date()) {
     return refuse(context, refusal(error_code::configuration_stale,
                                    "this daemon cannot show that its configuration is in force"));
   }
--- a/birchlever/filters/caller_server.cpp
+++ b/birchlever/filters/caller_server.cpp
@@ -190,7 +190,7 @@
     response.set_content("{\"alive\":true}", json_type);
   });
   server_.Get("/readyz", [this](const httplib::Request&, httplib::Response& response) {
-    auto ready = !context_->stopping_ && context_->configuration_->fresh();
+    auto ready = !context_->stopping_ && context_->configuration_->is_up_to_date();
     response.status = ready ? 200 : 503;
     response.set_content(json{{"ready", ready}, {"stopping", context_->stopping_.load()}}.dump(), json_type);
   });
--- a/birchlever/operators/local_rows.cpp
+++ b/birchlever/operators/local_rows.cpp
@@ -36,7 +36,7 @@
           {"data_hall", context.settings_.data_hall_},
           {"peer", context.peer_address_},
           {"generation", context.configuration_->generation()},
-          {"fresh", context.configuration_->fresh()},
+          {"fresh", context.configuration_->is_up_to_date()},
           {"stopping", context.stopping_.load()},
           {"shards", held.size()},
           {"calls_under_way", context.calls_under_way_.load()},
--- a/birchlever/rpc/peer_server.cpp
+++ b/birchlever/rpc/peer_server.cpp
@@ -109,7 +109,7 @@
 
   auto hear_generation(rpc::text_reply& reply, const rpc::envelope& sender) -> void override {
     answer_text(reply, sender, [this] {
-      auto able = context_->configuration_->fresh() && !context_->stopping_;
+      auto able = context_->configuration_->is_up_to_date() && !context_->stopping_;
       return result<std::string>{std::string{able ? able_to_own : ""}};
     });
   }
@@ -139,7 +139,7 @@
       log_event(log_level::warning, "peer_refused", {{"sender", sender.sender}});
       return false;
     }
-    if (context_->configuration_->heard(sender.generation)) {
+    if (context_->configuration_->record_seen(sender.generation)) {
       look_now_();
     }
     return true;
--- a/unit_tests/coordination/configuration_test.cpp
+++ b/unit_tests/coordination/configuration_test.cpp
@@ -58,22 +58,22 @@
   auto document = value(both.store_->read("generation/1"));
   REQUIRE(ok(both.store_->commit({"hide", {}, {}, {"generation/1"}})));
   CHECK(!both.look(*both.right_));
-  CHECK(!both.right_->fresh());
+  CHECK(!both.right_->is_up_to_date());
   REQUIRE(ok(both.store_->commit({"show", {}, {{"generation/1", document->value_}}, {}})));
   CHECK(both.look(*both.right_));
-  CHECK(both.right_->fresh());
+  CHECK(both.right_->is_up_to_date());
   CHECK(both.right_->current().text_ == "a");
 }
 
 TEST_CASE("a view is fresh within its bound, and not while a higher generation was heard of") {
   auto both = two_views{};
-  CHECK(!both.left_->fresh());
+  CHECK(!both.left_->is_up_to_date());
   both.look(*both.left_);
-  CHECK(both.left_->fresh());
-  CHECK(both.left_->heard(4));
-  CHECK(!both.left_->fresh());
+  CHECK(both.left_->is_up_to_date());
+  CHECK(both.left_->record_seen(4));
+  CHECK(!both.left_->is_up_to_date());
   both.clock_->advance(5001);
-  CHECK(!both.right_->fresh());
+  CHECK(!both.right_->is_up_to_date());
 }
 
 TEST_CASE("the split of policies is sticky and follows the shares") {
