--- a/fleet_model/hot_part.h
+++ b/fleet_model/hot_part.h
@@ -1,6 +1,6 @@
 /// One part of the store under a load that it bears, and in it one program that many daemons change at the
 /// same time: whether the part recovers rests on how they repeat what is not answered and what lost against
-/// another change. They decide with the product's own answer_times and longest_conflict_pause.
+/// another change. They decide with the product's own answer_times and max_conflict_backoff.
 #pragma once
 
 #include <cstdint>
