--- a/birchlever/coordination/allowance_ranges.h
+++ b/birchlever/coordination/allowance_ranges.h
@@ -24,8 +24,8 @@
 /// Settings of allowance_ranges. Times in ms.
 struct allowance_settings {
   std::string table_ = "allowances";
-  std::string daemon_;                      ///< Identifies this incarnation of the daemon.
-  int ranges_ = 32;                         ///< Number of ranges, at most 64; must be equal on all daemons.
+  std::string daemon_;  ///< Identifies this incarnation of the daemon.
+  int ranges_ = 32;     ///< Number of ranges, at most 64; must be equal on all daemons and must never change.
   milliseconds lease_ = 60000;              ///< Lease duration; must exceed the longest store outage.
   milliseconds renewal_threshold_ = 40000;  ///< Leases with less time left are renewed.
   milliseconds poll_interval_ = 5000;       ///< Interval between polls of the rows.
--- a/birchlever/coordination/fleet_configuration.cpp
+++ b/birchlever/coordination/fleet_configuration.cpp
@@ -73,17 +73,17 @@
       parsed.pinned_shards_[std::stoi(shard)] = daemon.get<std::string>();
     }
   } catch (const std::exception& fault) {
-    return error{error_code::malformed_json, std::string{"configuration is not readable: "} + fault.what()};
+    return error{error_code::malformed_json, std::string{"malformed fleet configuration: "} + fault.what()};
   }
   auto accounts = std::vector<client_account>{};
   for (const auto& [name, account] : parsed.accounts_) {
     accounts.push_back(account);
   }
-  auto book = account_book::create(std::move(accounts));
-  if (!ok(book)) {
-    return failure(book);
+  auto registry = account_book::create(std::move(accounts));
+  if (!ok(registry)) {
+    return failure(registry);
   }
-  parsed.book_ = std::move(value(book));
+  parsed.account_registry_ = std::move(value(registry));
   return parsed;
 }
 
@@ -109,7 +109,7 @@
 }
 
 auto fleet_configuration::account_of(const std::string& key) const -> std::string {
-  const auto* holder = book_ ? book_->holder_of(sha256_of(key)) : nullptr;
+  const auto* holder = account_registry_ ? account_registry_->holder_of(sha256_of(key)) : nullptr;
   return holder == nullptr ? std::string{} : holder->name_;
 }
 
@@ -122,14 +122,14 @@
   if (total == 0) {
     return default_policy_name;
   }
-  auto place =
+  auto point =
       static_cast<std::int64_t>(hash_of(program, hash_of(account, 1)) % static_cast<std::uint64_t>(total));
   for (const auto& [name, policy] : policies_) {
     auto share = policy.state_ == policy_state::loaded ? policy.share_ : 0;
-    if (place < share) {
+    if (point < share) {
       return name;
     }
-    place -= share;
+    point -= share;
   }
   return default_policy_name;
 }
--- a/birchlever/coordination/fleet_configuration.h
+++ b/birchlever/coordination/fleet_configuration.h
@@ -14,42 +14,43 @@
 
 namespace birchlever {
 
-/// Where a policy stands.
+/// Lifecycle state of a policy.
 enum class policy_state { created, loaded, shadow, retired };
 
-/// A policy with its place in the fleet.
+/// A policy with its state and traffic share.
 struct fleet_policy {
   policy_settings settings_;
   policy_state state_ = policy_state::created;
-  std::int64_t share_ = 0;  ///< Parts of new programs it gets, relative to the other loaded ones.
+  std::int64_t share_ = 0;  ///< Weight among the loaded policies when new programs are assigned.
 };
 
-/// Everything operators change while the fleet runs.
+/// The configuration that operators can change at run time.
 struct fleet_configuration {
   std::map<std::string, client_account> accounts_;
-  std::shared_ptr<const account_book> book_;  ///< The accounts as checked when parsed; not stored.
+  std::shared_ptr<const account_book> account_registry_;  ///< Built from accounts_ by parse(); not stored.
   std::map<std::string, fleet_policy> policies_;
   std::set<std::string> drained_upstreams_;
   std::set<std::string> drained_halls_;
-  std::map<std::int32_t, std::string> pinned_shards_;  ///< Shard to the daemon that should own it.
+  std::map<std::int32_t, std::string> pinned_shards_;  ///< Preferred owner (daemon) by shard.
 
-  /// Reads a document. Failures: malformed_json, invalid_account.
+  /// Parses a document; an empty text gives an empty configuration. Failures: malformed_json,
+  /// invalid_account.
   static auto parse(const std::string& text) -> result<fleet_configuration>;
 
-  /// The document as stored.
+  /// Returns the document as stored.
   [[nodiscard]] auto to_text() const -> std::string;
 
-  /// The account that a key belongs to; empty when none.
+  /// Returns the name of the account that a key belongs to; empty if there is none.
   [[nodiscard]] auto account_of(const std::string& key) const -> std::string;
 
-  /// The policy of a new program, by a hash that stays the same as long as the split does.
+  /// Returns the policy of a new program. Assigned by hash, so it is stable while the shares do not change.
   [[nodiscard]] auto policy_for(const std::string& account, const std::string& program) const -> std::string;
 };
 
-/// Name of the policy in force while no policy is loaded.
+/// Name of the policy that applies while no policy is loaded.
 inline constexpr auto default_policy_name = "default";
 
-/// The stable name of a policy state.
+/// Returns the stable name of a policy state.
 [[nodiscard]] auto name_of(policy_state state) -> std::string_view;
 
 }  // namespace birchlever
--- a/birchlever/coordination/journal.cpp
+++ b/birchlever/coordination/journal.cpp
@@ -13,7 +13,7 @@
 namespace birchlever {
 namespace {
 
-constexpr auto longest_retry_gap = std::chrono::milliseconds{250};
+constexpr auto max_retry_interval = std::chrono::milliseconds{250};
 
 auto padded(std::int64_t number, int width) -> std::string {
   auto text = std::array<char, 32>{};
@@ -57,7 +57,7 @@
   if (value(pointer)) {
     auto body = nlohmann::json::parse(value(pointer)->value_, nullptr, false);
     if (!body.is_object()) {
-      return error{error_code::malformed_json, "snapshot pointer is not readable"};
+      return error{error_code::malformed_json, "malformed snapshot pointer"};
     }
     snapshot_object_ = body.value("object", "");
     last_sequence_ = body.value("sequence", std::int64_t{0});
@@ -105,17 +105,17 @@
   if (value(row) && value(row)->write_id_ == write_id) {
     return success;
   }
-  return error{error_code::lease_lost, "another epoch writes this journal"};
+  return error{error_code::lease_lost, "another epoch writes to this journal"};
 }
 
-auto journal::commit(const std::vector<journal_record>& records, const keep_trying& keep)
+auto journal::commit(const std::vector<journal_record>& records, const retry_predicate& should_retry)
     -> result<std::int64_t> {
   auto key = row_key(last_sequence_ + 1);
   auto transaction = table_transaction{random_id(), {{key, 0}}, {{key, to_text(records)}}, {}};
   if (test_switches::instance().mechanism_on("journal_fence")) {
     transaction.conditions_.push_back({lease::fence_key(shard_), fence_version_});
   }
-  auto gap = std::chrono::milliseconds{settings_.retry_gap_ms_};
+  auto delay = std::chrono::milliseconds{settings_.retry_interval_ms_};
   for (auto attempt = 0; attempt < settings_.attempts_; ++attempt) {
     auto outcome = store_->commit(transaction);
     if (ok(outcome)) {
@@ -130,13 +130,14 @@
         return failure(resolved);
       }
     }
-    if (!keep()) {
+    if (!should_retry()) {
       break;
     }
-    std::this_thread::sleep_for(gap);
-    gap = std::min(gap * 2, longest_retry_gap);
+    std::this_thread::sleep_for(delay);
+    delay = std::min(delay * 2, max_retry_interval);
   }
-  return error{error_code::store_unknown, "journal commit has no known outcome", ran_state::not_run, 1000};
+  return error{error_code::store_unknown, "outcome of the journal commit is unknown", ran_state::not_run,
+               1000};
 }
 
 auto journal::write_snapshot(const journal_snapshot& snapshot) -> status {
@@ -159,7 +160,7 @@
     return failure(outcome);
   }
   if (!snapshot_object_.empty()) {
-    (void)store_->delete_object(snapshot_object_);  // Best effort: a leftover object is only garbage.
+    (void)store_->delete_object(snapshot_object_);  // Best effort: an object left behind is unreferenced.
   }
   snapshot_object_ = object;
   for (const auto& segment : snapshot.dead_segments_) {
@@ -177,7 +178,7 @@
       transaction.deletes_.push_back(row_key(sequence));
     }
     if (!ok(store_->commit(transaction))) {
-      return;  // The next snapshot trims again from here.
+      return;  // The next snapshot retries from here.
     }
     trimmed_through_ = last;
   }
--- a/birchlever/coordination/journal.h
+++ b/birchlever/coordination/journal.h
@@ -12,23 +12,23 @@
 
 namespace birchlever {
 
-/// How the journal writes.
+/// Settings of the journal.
 struct journal_settings {
-  int scan_page_ = 256;   ///< Rows read at once during recovery.
-  int trim_page_ = 200;   ///< Rows deleted by one write.
-  int retry_gap_ms_ = 5;  ///< First pause between tries; doubles up to 250 ms. Zero never pauses.
-  int attempts_ = 400;    ///< Tries of one commit before it is reported as unknown.
+  int scan_page_ = 256;        ///< Rows per scan during recovery.
+  int trim_page_ = 200;        ///< Rows deleted per transaction.
+  int retry_interval_ms_ = 5;  ///< Delay before the first retry; doubles up to 250 ms. 0 for no delay.
+  int attempts_ = 400;         ///< Attempts of one commit before it is reported as unknown.
 };
 
-/// What recovery found: the newest snapshot and the records after it.
+/// Result of a recovery: the newest snapshot and the records after it.
 struct journal_recovery {
   std::string snapshot_;
   std::vector<journal_record> records_;
   std::int64_t rows_ = 0;   ///< Journal rows read.
-  std::int64_t reads_ = 0;  ///< Store reads it took.
+  std::int64_t reads_ = 0;  ///< Store reads made.
 };
 
-/// Where a call's answer lies within a segment object.
+/// Location of a call's answer within a segment object.
 struct moved_answer {
   std::string account_;
   std::string program_;
@@ -37,37 +37,40 @@
   std::int64_t length_ = 0;
 };
 
-/// A snapshot ready to be written: the state after a sequence number, and the answers moved out of it.
+/// A snapshot to write: the state after a sequence number, and the answers moved out of it.
 struct journal_snapshot {
   std::int64_t sequence_ = 0;
   std::string state_;
-  std::string segment_key_;  ///< Object that takes the moved answers; empty when none moved.
+  std::string segment_key_;  ///< Key of the object that receives the moved answers; empty if there are none.
   std::string segment_;
-  std::vector<moved_answer> moved_;         ///< Answers that the segment now holds.
-  std::vector<std::string> dead_segments_;  ///< Objects that no live program refers to any more.
+  std::vector<moved_answer> moved_;         ///< Answers stored in the segment.
+  std::vector<std::string> dead_segments_;  ///< Objects that no live program references.
 };
 
-/// One shard's journal under one epoch. Not thread safe: one writer owns it. Calls block on the store.
+/// The journal of one shard in one epoch. Not thread safe: owned by a single writer. Calls block on the
+/// store.
 class journal {
  public:
-  /// Decides whether a commit whose outcome is open is still worth repeating.
-  using keep_trying = std::function<bool()>;
+  /// Returns true while a commit with unknown outcome should be retried.
+  using retry_predicate = std::function<bool()>;
 
-  /// A journal that writes under the epoch whose fence row has the given version.
+  /// Creates a journal that writes in the epoch whose fence row has the given version. Failures:
+  /// invalid_setting.
   static auto create(const journal_settings& settings, int shard, std::int64_t fence_version,
                      std::shared_ptr<table_store_interface> store) -> result<journal>;
 
-  /// Reads everything durable. Call once, after the lease was taken and before the first commit.
+  /// Reads the durable state. Call once, after the lease was acquired and before the first commit.
   auto recover() -> result<journal_recovery>;
 
-  /// Writes one row with all the records and returns its sequence number. A lost answer is resolved by
-  /// repeating the same put-if-absent. Failures: lease_lost (another epoch writes now), store_unknown.
-  auto commit(const std::vector<journal_record>& records, const keep_trying& keep) -> result<std::int64_t>;
+  /// Writes all records as one row and returns its sequence number. A lost response is resolved by repeating
+  /// the same put-if-absent. Failures: lease_lost (another epoch writes), store_unknown.
+  auto commit(const std::vector<journal_record>& records, const retry_predicate& should_retry)
+      -> result<std::int64_t>;
 
   /// Writes a snapshot and trims the rows it covers.
   auto write_snapshot(const journal_snapshot& snapshot) -> status;
 
-  /// The sequence number of the last row known to be durable.
+  /// Returns the sequence number of the last row known to be durable.
   [[nodiscard]] auto last_sequence() const -> std::int64_t { return last_sequence_; }
 
  private:
--- a/birchlever/coordination/journal_record.cpp
+++ b/birchlever/coordination/journal_record.cpp
@@ -93,7 +93,7 @@
   try {
     for (const auto& row : rows) {
       if (!is_record(row)) {
-        return error{error_code::malformed_json, "journal row holds something other than a record"};
+        return error{error_code::malformed_json, "journal row contains an invalid record"};
       }
       records.push_back(from_json(row));
     }
--- a/birchlever/coordination/lease.cpp
+++ b/birchlever/coordination/lease.cpp
@@ -16,8 +16,8 @@
   return std::string{prefix} + number.data();
 }
 
-/// Owner identities are "machine/process"; successors are named by machine.
-auto names_machine_of(const std::string& owner, const std::string& machine) -> bool {
+/// Returns true if an owner identity, "machine/process", is on the given machine.
+auto is_on_machine(const std::string& owner, const std::string& machine) -> bool {
   return !machine.empty() && owner.compare(0, owner.find('/'), machine) == 0;
 }
 
@@ -36,10 +36,10 @@
     -> result<lease> {
   if (settings.margin_ < 0 || settings.duration_ <= settings.margin_ + settings.renew_every_) {
     return error{error_code::invalid_setting,
-                 "lease duration must be longer than its margin and renewal gap together"};
+                 "lease duration must exceed the sum of its margin and renewal interval"};
   }
   if (owner.empty()) {
-    return error{error_code::invalid_setting, "a lease needs an owner identity"};
+    return error{error_code::invalid_setting, "lease owner identity must not be empty"};
   }
   return lease{settings, shard, std::move(owner), std::move(address), std::move(store), std::move(clock)};
 }
@@ -64,7 +64,7 @@
 auto lease::parse(const std::string& text) -> result<lease_claim> {
   auto body = nlohmann::json::parse(text, nullptr, false);
   if (!body.is_object() || !body.contains("owner") || !body.contains("epoch")) {
-    return error{error_code::malformed_json, "lease row does not hold a claim"};
+    return error{error_code::malformed_json, "malformed lease row"};
   }
   return lease_claim{body.value("owner", ""), body.value("address", ""), body.value("epoch", std::int64_t{0}),
                      body.value("successor", "")};
@@ -72,13 +72,13 @@
 
 auto lease::observe(const std::optional<table_row>& row) -> void {
   auto version = row ? row->version_ : 0;
-  if (seen_ && version == row_version_) {
+  if (observed_ && version == row_version_) {
     return;
   }
   if (holding_ && version < row_version_) {
-    return;  // An older read that was under way while we wrote.
+    return;  // The read was in flight during our write and is stale.
   }
-  seen_ = true;
+  observed_ = true;
   row_version_ = version;
   observed_since_ = clock_->now();
   auto parsed = row ? parse(row->value_) : result<lease_claim>{lease_claim{}};
@@ -89,20 +89,20 @@
 }
 
 auto lease::can_acquire(int rank) const -> bool {
-  if (!seen_ || holding_) {
+  if (!observed_ || holding_) {
     return false;
   }
   auto waited = clock_->now() - observed_since_;
-  auto turn = rank * settings_.rank_step_;
+  auto rank_delay = rank * settings_.rank_step_;
   if (claim_.owner_ == owner_) {
-    return true;  // Our own lease ran out and no one has taken it; compare-and-set tells if that changes.
+    return true;  // Our own lease expired; compare-and-set fails if another process has acquired it.
   }
   if (claim_.owner_.empty()) {
-    return names_machine_of(owner_, claim_.successor_) || waited >= turn;
+    return is_on_machine(owner_, claim_.successor_) || waited >= rank_delay;
   }
   auto margin =
       test_switches::instance().mechanism_on("lease_wait") ? settings_.margin_ : -settings_.duration_;
-  return waited >= settings_.duration_ + margin + turn;
+  return waited >= settings_.duration_ + margin + rank_delay;
 }
 
 auto lease::write(const table_transaction& transaction) -> result<std::int64_t> {
@@ -117,7 +117,7 @@
   if (value(row) && value(row)->write_id_ == transaction.write_id_) {
     return value(row)->version_;
   }
-  return error{error_code::store_unknown, "lease write is not visible; its outcome is open"};
+  return error{error_code::store_unknown, "lease write is not visible; its outcome is unknown"};
 }
 
 auto lease::acquire() -> status {
@@ -128,7 +128,7 @@
   transaction.puts_.push_back({fence_key(shard_), std::to_string(claim.epoch_)});
   auto outcome = write(transaction);
   if (!ok(outcome)) {
-    seen_ = false;  // Look again before the next try.
+    observed_ = false;  // Requires a new read before the next attempt.
     return failure(outcome);
   }
   claim_ = claim;
@@ -136,7 +136,7 @@
   fence_version_ = value(outcome);
   valid_until_ = started + settings_.duration_ - settings_.margin_;
   renewed_at_ = started;
-  seen_ = true;
+  observed_ = true;
   holding_ = true;
   return success;
 }
@@ -165,8 +165,9 @@
   auto parsed = value(row) ? parse(value(row)->value_) : result<lease_claim>{lease_claim{}};
   auto still_ours = ok(parsed) && value(parsed).owner_ == owner_ && value(parsed).epoch_ == claim_.epoch_;
   if (still_ours) {
-    row_version_ = value(row)->version_;  // An earlier renewal landed late; renew again from its version.
-    return error{error_code::store_unknown, "an earlier renewal landed late"};
+    row_version_ =
+        value(row)->version_;  // An earlier renewal took effect late; renew again from its version.
+    return error{error_code::store_unknown, "an earlier lease renewal took effect late"};
   }
   drop();
   return error{error_code::lease_lost, "another process holds the lease"};
--- a/birchlever/coordination/lease.h
+++ b/birchlever/coordination/lease.h
@@ -1,4 +1,4 @@
-/// The right to sequence one shard, won by compare-and-set in the table service.
+/// Ownership of one shard, acquired by compare-and-set in the table service.
 #pragma once
 
 #include <memory>
@@ -11,78 +11,81 @@
 
 namespace birchlever {
 
-/// How long a lease lasts and how careful both sides are. Times in milliseconds.
+/// Settings of a lease. Times in milliseconds.
 struct lease_settings {
-  milliseconds duration_ = 6000;     ///< From the send of a renewal until the right ends.
-  milliseconds margin_ = 1000;       ///< Holder stops this early; successor starts this late.
-  milliseconds renew_every_ = 2000;  ///< Gap between renewals.
-  milliseconds rank_step_ = 400;     ///< Extra wait per place behind the preferred owner.
+  milliseconds duration_ = 6000;     ///< Measured from the send of a renewal.
+  milliseconds margin_ = 1000;       ///< The holder stops this early; a successor starts this late.
+  milliseconds renew_every_ = 2000;  ///< Interval between renewals.
+  milliseconds rank_step_ = 400;     ///< Extra wait per rank behind the preferred owner.
 };
 
-/// What a lease row says.
+/// Contents of a lease row.
 struct lease_claim {
-  std::string owner_;       ///< Identity of the holding process; empty when released.
+  std::string owner_;       ///< Identity of the holding process; empty after a release.
   std::string address_;     ///< Peer address of the holder, "ip:port".
-  std::int64_t epoch_ = 0;  ///< Rises with every change of holder.
-  std::string successor_;   ///< Who should take a released lease.
+  std::int64_t epoch_ = 0;  ///< Increases with every change of holder.
+  std::string successor_;   ///< Machine that should acquire a released lease.
 };
 
-/// One shard's lease as one process sees it. Not thread safe: one controller owns it.
-/// Safety rests on the monotonic clock only: a holder counts from before its renewal was sent, an observer
-/// from when it first saw the row unchanged.
+/// The view of one process on the lease of a shard. Not thread safe: owned by a single controller.
+/// Safety depends on monotonic clocks only: a holder measures from before its renewal was sent, an observer
+/// from when it first read the current version of the row.
 class lease {
  public:
-  /// Checks the settings and makes a lease that is not held.
+  /// Validates the settings and creates a lease that is not held. Failures: invalid_setting.
   static auto create(const lease_settings& settings, int shard, std::string owner, std::string address,
                      std::shared_ptr<table_store_interface> store, std::shared_ptr<clock_interface> clock)
       -> result<lease>;
 
-  /// The key of a shard's lease row.
+  /// Returns the key of a shard's lease row.
   static auto row_key(int shard) -> std::string;
 
-  /// The key of the row that fences stale writers; its version changes with the epoch only.
+  /// Returns the key of the row that fences stale writers; its version changes only with the epoch.
   static auto fence_key(int shard) -> std::string;
 
-  /// Reads a lease row's value.
+  /// Parses the value of a lease row. Failures: malformed_json.
   static auto parse(const std::string& text) -> result<lease_claim>;
 
-  /// Takes in the row as last read from the store.
+  /// Applies the row as read from the store.
   auto observe(const std::optional<table_row>& row) -> void;
 
-  /// True when this process may try to take the lease now, given its place in the preference order.
+  /// Returns true if this process may try to acquire the lease now, given its rank in the preference order.
   [[nodiscard]] auto can_acquire(int rank) const -> bool;
 
-  /// Tries to take the lease. Failures: store_conflict when another process won.
+  /// Tries to acquire the lease. Failures: store_conflict if another process acquired it first; other
+  /// failures of the store.
   auto acquire() -> status;
 
-  /// Extends a held lease. Failures: lease_lost when another process holds it.
+  /// Extends a held lease. Failures: lease_lost if another process holds it, store_unknown if an earlier
+  /// renewal took effect late (renew again), other failures of the store.
   auto renew() -> status;
 
-  /// Gives a held lease up at once, naming who should take it.
+  /// Releases a held lease immediately and names the machine that should acquire it. Failures: lease_lost.
   auto release(const std::string& successor) -> status;
 
-  /// Stops holding without telling the store; the row runs out by itself.
+  /// Stops holding without a write to the store; the row expires on its own.
   auto abandon() -> void;
 
-  /// True until this process gave the lease up or learned that it lost it, even if it ran out.
+  /// Returns true until this process releases or abandons the lease or learns that it lost it, even after
+  /// expiry.
   [[nodiscard]] auto holding() const -> bool { return holding_; }
 
-  /// Until when this process may act as owner, on its clock; zero when not held.
+  /// Returns the time until which this process may act as owner, on its clock; 0 if not held.
   [[nodiscard]] auto valid_until() const -> milliseconds { return holding_ ? valid_until_ : 0; }
 
-  /// True while this process may act as owner.
+  /// Returns true while this process may act as owner.
   [[nodiscard]] auto held() const -> bool;
 
-  /// True when it is time to renew.
+  /// Returns true if a renewal is due.
   [[nodiscard]] auto renewal_due() const -> bool;
 
-  /// The epoch this process holds, or the last one observed.
+  /// Returns the epoch this process holds, or the last one observed.
   [[nodiscard]] auto epoch() const -> std::int64_t { return claim_.epoch_; }
 
-  /// Version of the fence row that this process's epoch wrote.
+  /// Returns the version of the fence row written by this process's epoch.
   [[nodiscard]] auto fence_version() const -> std::int64_t { return fence_version_; }
 
-  /// The claim as last seen or made.
+  /// Returns the claim as last observed or written.
   [[nodiscard]] auto claim() const -> const lease_claim& { return claim_; }
 
  private:
@@ -104,7 +107,7 @@
   milliseconds observed_since_ = 0;
   milliseconds valid_until_ = 0;
   milliseconds renewed_at_ = 0;
-  bool seen_ = false;
+  bool observed_ = false;
   bool holding_ = false;
 };
 
--- a/birchlever/coordination/program_keys.cpp
+++ b/birchlever/coordination/program_keys.cpp
@@ -10,18 +10,20 @@
 namespace birchlever {
 namespace {
 
-constexpr auto longest_name = std::size_t{64};  // Longer identities are hashed into a row's key.
-constexpr auto behind_turns = '0';              // The next letter after the slash of turns_prefix.
+constexpr auto max_name_length = std::size_t{64};  // Longer names are hashed.
+constexpr auto turns_end = '0';                    // The character after the slash of turns_prefix.
 
-constexpr auto behind_account = ':';  // Behind every letter that ends a name in a key, so that the rows of a
-                                      // program lie outside the range of one whose name is its account's.
+constexpr auto account_separator =
+    ':';  // Sorts after every character that ends a name in a key, so that the rows
+          // of a program are outside the range of one named like its account.
 
-/// Letters that sort behind behind_turns only: a longer name lies outside the range of its own beginning.
-auto is_plain(unsigned char letter) -> bool {
-  return std::isalnum(letter) != 0 || letter == '_';
+/// Returns true for characters that sort no lower than the end of the turns' range, so that a longer name is
+/// outside the key range of any prefix of it.
+auto is_plain(unsigned char character) -> bool {
+  return std::isalnum(character) != 0 || character == '_';
 }
 
-auto hashed(const std::string& identity) -> std::string {
+auto hashed_name(const std::string& identity) -> std::string {
   auto text = std::array<char, 48>{};
   std::snprintf(text.data(), text.size(), "~%016llx%016llx",
                 static_cast<unsigned long long>(hash_of(identity, 1)),
@@ -29,20 +31,20 @@
   return text.data();
 }
 
-auto key_part(const std::string& identity) -> std::string {
-  auto fits = !identity.empty() && identity.size() <= longest_name;
+auto key_component(const std::string& identity) -> std::string {
+  auto fits = !identity.empty() && identity.size() <= max_name_length;
   auto plain = fits && std::all_of(identity.begin(), identity.end(), is_plain);
-  return plain ? identity : hashed(identity);
+  return plain ? identity : hashed_name(identity);
 }
 
 }  // namespace
 
 auto key_name(const scoped_name& identity) -> std::string {
   if (identity.account_.empty()) {
-    return key_part(identity.name_);
+    return key_component(identity.name_);
   }
-  auto name = key_part(identity.account_) + behind_account + key_part(identity.name_);
-  return name.size() <= longest_name ? name : hashed(name);
+  auto name = key_component(identity.account_) + account_separator + key_component(identity.name_);
+  return name.size() <= max_name_length ? name : hashed_name(name);
 }
 
 auto budget_key(const std::string& program) -> std::string {
@@ -54,7 +56,7 @@
 }
 
 auto end_of_turns(const std::string& program) -> std::string {
-  return program + behind_turns;
+  return program + turns_end;
 }
 
 auto index_key(const std::string& program) -> std::string {
--- a/birchlever/coordination/program_keys.h
+++ b/birchlever/coordination/program_keys.h
@@ -1,4 +1,4 @@
-/// Keys of the rows in which programs are kept, shared by who writes them and who sweeps them.
+/// Keys of the rows of programs, shared by program_store and program_sweeper.
 #pragma once
 
 #include <string>
@@ -6,38 +6,39 @@
 
 namespace birchlever {
 
-/// A program or a turn as its client account names it. The same name under two accounts is two things, and
-/// nothing of one account is found under another.
+/// The name of a program or a turn within its client account. Equal names of different accounts are distinct,
+/// and no account can access data of another.
 struct scoped_name {
   scoped_name() = default;
 
-  /// Of no account: where accounts are not told apart, and in rows written before they were.
+  /// Creates a name without an account, for deployments without accounts and rows written before accounts
+  /// existed.
   scoped_name(const char* name) : name_{name} {}
   scoped_name(std::string name) : name_{std::move(name)} {}
 
   scoped_name(std::string account, std::string name) : account_{std::move(account)}, name_{std::move(name)} {}
 
-  std::string account_;  ///< Empty where accounts are not told apart.
+  std::string account_;  ///< Empty if accounts are not distinguished.
   std::string name_;
 };
 
-/// An identity as part of a key: itself when it is short and plain, else its hash; behind its account's name,
-/// if it has one. No key name begins another's range of keys.
+/// Returns a name as a component of row keys: the name itself if it is short and plain, otherwise its hash,
+/// prefixed with the account if there is one. The key range of one name never includes keys of another.
 [[nodiscard]] auto key_name(const scoped_name& identity) -> std::string;
 
-/// The key of a program's budget.
+/// Returns the key of a program's budget row.
 [[nodiscard]] auto budget_key(const std::string& program) -> std::string;
 
-/// What the keys of all turns of a program begin with.
+/// Returns the common prefix of the keys of a program's turns.
 [[nodiscard]] auto turns_prefix(const std::string& program) -> std::string;
 
-/// The first key behind all turns of a program.
+/// Returns the end of the key range of a program's turns, exclusive.
 [[nodiscard]] auto end_of_turns(const std::string& program) -> std::string;
 
-/// The key of a program's own row in the index, which is there from its first reservation on.
+/// Returns the key of a program's own row in the index, which exists from its first reservation on.
 [[nodiscard]] auto index_key(const std::string& program) -> std::string;
 
-/// The name of a part by its number.
+/// Returns the name of a partition by its number.
 [[nodiscard]] auto part_name(int number) -> std::string;
 
 }  // namespace birchlever
--- a/birchlever/coordination/program_ledger.cpp
+++ b/birchlever/coordination/program_ledger.cpp
@@ -15,8 +15,9 @@
   return "call " + std::to_string(order.number_) + " of program " + order.program_;
 }
 
-/// A repeatable call that failed before any upstream confirmed it must be sent again before the next one.
-auto lets_next_pass(const program_call& call) -> bool {
+/// Returns true if the next call may start. A repeatable call that failed before an upstream confirmed it
+/// must be sent again first.
+auto allows_next_call(const program_call& call) -> bool {
   switch (call.phase_) {
     case call_phase::committing:
     case call_phase::dispatched:
@@ -63,8 +64,8 @@
 }
 
 auto program_ledger::for_each(const std::function<void(const program&)>& visit) const -> void {
-  for (const auto& [key, one] : programs_) {
-    visit(one);
+  for (const auto& [key, owner] : programs_) {
+    visit(owner);
   }
 }
 
@@ -110,10 +111,11 @@
   auto* owner = find(order.account_, order.program_);
   if (owner == nullptr) {
     if (order.number_ != 1) {
-      return refuse(error_code::unknown_program, "no program " + order.program_ + "; it begins with call 1");
+      return refuse(error_code::unknown_program,
+                    "no program " + order.program_ + "; a program starts with call 1");
     }
     owner = &create_program(order, policy, now);
-    auto decision = begin(*owner, order, now);
+    auto decision = start_attempt(*owner, order, now);
     if (std::holds_alternative<error>(decision)) {
       programs_.erase(key_of(order.account_, order.program_));
     }
@@ -126,13 +128,13 @@
   }
   auto known = owner->calls_.find(order.number_);
   if (known != owner->calls_.end()) {
-    return open_again(*owner, known->second, order, now);
+    return reopen(*owner, known->second, order, now);
   }
   return open_next(*owner, order, now);
 }
 
-auto program_ledger::open_again(program& owner, program_call& call, const call_request& order,
-                                milliseconds now) -> open_decision {
+auto program_ledger::reopen(program& owner, program_call& call, const call_request& order, milliseconds now)
+    -> open_decision {
   if (call.digest_ != order.digest_ && call.digest_ != 0) {
     return refuse(error_code::call_mismatch, call_name(order) + " was issued with another request");
   }
@@ -141,19 +143,20 @@
       return open_replay{call.answer_, call.location_};
     case call_phase::unresolved:
       if (!test_switches::instance().mechanism_on("at_most_once")) {
-        return begin(owner, order, now);
+        return start_attempt(owner, order, now);
       }
       if (!order.request_id_.empty() && call.request_id_ == order.request_id_) {
-        return begin(owner, order,
-                     now);  // The asker itself lost the ticket, so the call was surely not sent.
+        return start_attempt(
+            owner, order,
+            now);  // The requester itself lost the ticket, so the call was certainly not sent.
       }
-      call.told_unknown_ = true;
+      call.reported_unknown_ = true;
       return open_resolve{call.upstream_, call.key_};
     case call_phase::failed:
       if (owner.ended_) {
         return refuse(error_code::program_ended, "program ended: " + owner.end_reason_);
       }
-      return begin(owner, order, now);
+      return start_attempt(owner, order, now);
     case call_phase::committing:
     case call_phase::dispatched:
     case call_phase::accepted:
@@ -169,24 +172,26 @@
   auto highest = owner.highest_call();
   auto ordered = test_switches::instance().mechanism_on("call_order");
   if (highest == 0 && order.number_ != 1) {
-    return ordered ? open_decision{open_wait{}} : begin(owner, order, now);
+    return ordered ? open_decision{open_wait{}} : start_attempt(owner, order, now);
   }
   if (order.number_ < highest) {
-    return begin(owner, order, now);  // A later call was sent, so this one had been accepted; its owner died.
+    return start_attempt(owner, order,
+                         now);  // A later call was sent, so this one had been accepted by a previous owner.
   }
   if (ordered && order.number_ > highest + 1) {
     return open_wait{};
   }
-  if (ordered && highest > 0 && !lets_next_pass(owner.calls_.rbegin()->second)) {
+  if (ordered && highest > 0 && !allows_next_call(owner.calls_.rbegin()->second)) {
     return open_wait{};
   }
   if (order.parent_ != 0 && owner.calls_.count(order.parent_) == 0) {
-    return refuse(error_code::call_mismatch, call_name(order) + " names a parent that was never issued");
+    return refuse(error_code::call_mismatch, call_name(order) + " specifies a parent that was never issued");
   }
-  return begin(owner, order, now);
+  return start_attempt(owner, order, now);
 }
 
-auto program_ledger::limits(const program& owner, const call_request& order) const -> std::optional<error> {
+auto program_ledger::check_limits(const program& owner, const call_request& order) const
+    -> std::optional<error> {
   if (order.number_ > settings_.turn_limit_) {
     return refuse(error_code::program_too_long,
                   "program reached its limit of " + std::to_string(settings_.turn_limit_) + " calls");
@@ -213,10 +218,11 @@
   return std::clamp<std::int64_t>(owner.budget_.remaining(), 1, settings_.default_max_tokens_);
 }
 
-auto program_ledger::begin(program& owner, const call_request& order, milliseconds now) -> open_decision {
-  auto over = limits(owner, order);
-  if (over) {
-    return *over;
+auto program_ledger::start_attempt(program& owner, const call_request& order, milliseconds now)
+    -> open_decision {
+  auto limit_error = check_limits(owner, order);
+  if (limit_error) {
+    return *limit_error;
   }
   auto cost = cost_of(owner, order);
   if (!owner.budget_.commit(cost)) {
@@ -288,21 +294,22 @@
     return {};
   }
   auto& call = known->second;
-  auto running = attempts_.find(call.sequence_);
-  if (running == attempts_.end() || running->second.settling_) {
+  auto attempt_entry = attempts_.find(call.sequence_);
+  if (attempt_entry == attempts_.end() || attempt_entry->second.settling_) {
     return {};
   }
   auto intent_may_be_durable = !call.repeatable_ && owner->durable_ && call.phase_ != call_phase::committing;
   if (intent_may_be_durable) {
-    running->second.settling_ = true;  // The intent may be durable; the void record settles it.
+    attempt_entry->second.settling_ =
+        true;  // The intent may be durable; the record that voids it settles the attempt.
     auto record = journal_record{record_kind::call_voided, account, program, number};
     record.epoch_ = epoch_;
     record.sequence_ = call.sequence_;
     record.max_tokens_ = call.max_tokens_;
     return {record};
   }
-  owner->budget_.cancel(running->second.cost_);
-  attempts_.erase(running);
+  owner->budget_.cancel(attempt_entry->second.cost_);
+  attempts_.erase(attempt_entry);
   owner->calls_.erase(known);
   if (owner->calls_.empty() && !owner->durable_) {
     programs_.erase(key_of(account, program));
@@ -343,24 +350,24 @@
 
 auto program_ledger::expire(milliseconds now) -> std::vector<journal_record> {
   auto records = std::vector<journal_record>{};
-  for (auto& [sequence, running] : attempts_) {
-    if (running.settling_ || now < running.expires_at_ + settings_.report_margin_) {
+  for (auto& [sequence, attempt_entry] : attempts_) {
+    if (attempt_entry.settling_ || now < attempt_entry.expires_at_ + settings_.report_margin_) {
       continue;
     }
-    auto& owner = programs_.at(running.program_key_);
-    auto report = call_settlement{owner.account_, owner.id_, running.number_, epoch_, sequence};
-    auto known = owner.calls_.find(running.number_);
+    auto& owner = programs_.at(attempt_entry.program_key_);
+    auto report = call_settlement{owner.account_, owner.id_, attempt_entry.number_, epoch_, sequence};
+    auto known = owner.calls_.find(attempt_entry.number_);
     report.digest_ = known == owner.calls_.end() ? 0 : known->second.digest_;
-    report.max_tokens_ = running.cost_;
-    running.settling_ = true;
-    records.push_back(charged_record(owner, report, running.cost_));
+    report.max_tokens_ = attempt_entry.cost_;
+    attempt_entry.settling_ = true;
+    records.push_back(charged_record(owner, report, attempt_entry.cost_));
   }
-  for (auto& [key, one] : programs_) {
-    auto idle = now - one.last_active_ >= settings_.idle_limit_;
-    auto busy = std::any_of(one.calls_.begin(), one.calls_.end(),
+  for (auto& [key, candidate] : programs_) {
+    auto idle = now - candidate.last_active_ >= settings_.idle_limit_;
+    auto busy = std::any_of(candidate.calls_.begin(), candidate.calls_.end(),
                             [](const auto& entry) { return in_flight(entry.second); });
-    if (!one.ended_ && idle && !busy) {
-      auto record = journal_record{record_kind::program_ended, one.account_, one.id_};
+    if (!candidate.ended_ && idle && !busy) {
+      auto record = journal_record{record_kind::program_ended, candidate.account_, candidate.id_};
       record.reason_ = "idle";
       records.push_back(std::move(record));
     }
@@ -370,13 +377,13 @@
 
 auto program_ledger::evict_ended(milliseconds now) -> void {
   for (auto next = programs_.begin(); next != programs_.end();) {
-    auto& one = next->second;
-    auto retention = one.ephemeral_ ? 0 : settings_.ended_retention_;
-    if (!one.ended_ || now - one.last_active_ < retention) {
+    auto& candidate = next->second;
+    auto retention = candidate.ephemeral_ ? 0 : settings_.ended_retention_;
+    if (!candidate.ended_ || now - candidate.last_active_ < retention) {
       ++next;
       continue;
     }
-    for (const auto& [number, call] : one.calls_) {
+    for (const auto& [number, call] : candidate.calls_) {
       attempts_.erase(call.sequence_);
       if (!call.location_.segment_.empty()) {
         --segments_[call.location_.segment_];
--- a/birchlever/coordination/program_ledger_settle.cpp
+++ b/birchlever/coordination/program_ledger_settle.cpp
@@ -1,4 +1,4 @@
-/// The half of program_ledger that turns reports into records, and records into state.
+/// The part of program_ledger that turns reports into records and applies records to the state.
 #include <algorithm>
 
 #include "birchlever/coordination/program_ledger.h"
@@ -6,14 +6,14 @@
 namespace birchlever {
 auto program_ledger::charge_of(const call_settlement& report) -> std::int64_t {
   if (report.epoch_ != epoch_) {
-    return report.tokens_;  // Was held since the takeover.
+    return report.tokens_;  // Held since the takeover.
   }
-  auto running = attempts_.find(report.sequence_);
-  if (running == attempts_.end() || running->second.settling_) {
+  auto attempt_entry = attempts_.find(report.sequence_);
+  if (attempt_entry == attempts_.end() || attempt_entry->second.settling_) {
     return 0;  // Already charged.
   }
-  running->second.settling_ = true;
-  return std::min(report.tokens_, running->second.cost_);
+  attempt_entry->second.settling_ = true;
+  return std::min(report.tokens_, attempt_entry->second.cost_);
 }
 
 auto program_ledger::charged_record(const program& owner, const call_settlement& report,
@@ -28,30 +28,30 @@
   return record;
 }
 
-auto program_ledger::adopt(const call_settlement& under_way, milliseconds now) -> bool {
-  auto* owner = find(under_way.account_, under_way.program_);
-  if (owner == nullptr || under_way.epoch_ >= epoch_) {
+auto program_ledger::adopt(const call_settlement& in_progress, milliseconds now) -> bool {
+  auto* owner = find(in_progress.account_, in_progress.program_);
+  if (owner == nullptr || in_progress.epoch_ >= epoch_) {
     return false;
   }
-  auto known = owner->calls_.find(under_way.number_);
-  if (known == owner->calls_.end() && under_way.number_ != owner->highest_call() + 1) {
+  auto known = owner->calls_.find(in_progress.number_);
+  if (known == owner->calls_.end() && in_progress.number_ != owner->highest_call() + 1) {
     return false;
   }
   if (known != owner->calls_.end() && known->second.phase_ != call_phase::unresolved) {
     return false;
   }
-  auto& call = owner->calls_[under_way.number_];
-  call.number_ = under_way.number_;
+  auto& call = owner->calls_[in_progress.number_];
+  call.number_ = in_progress.number_;
   call.phase_ = call_phase::accepted;
   call.accepted_ = true;
-  call.repeatable_ = under_way.repeatable_;
-  call.max_tokens_ = under_way.max_tokens_;
-  call.digest_ = under_way.digest_;
-  call.sequence_ = under_way.sequence_;
-  call.upstream_ = under_way.upstream_;
-  call.key_ = under_way.account_ + "/" + under_way.program_ + "/" + std::to_string(under_way.number_);
+  call.repeatable_ = in_progress.repeatable_;
+  call.max_tokens_ = in_progress.max_tokens_;
+  call.digest_ = in_progress.digest_;
+  call.sequence_ = in_progress.sequence_;
+  call.upstream_ = in_progress.upstream_;
+  call.key_ = in_progress.account_ + "/" + in_progress.program_ + "/" + std::to_string(in_progress.number_);
   call.expires_at_ = now + settings_.call_limit_;
-  owner->upstreams_.insert(under_way.upstream_);
+  owner->upstreams_.insert(in_progress.upstream_);
   owner->last_active_ = now;
   return true;
 }
@@ -69,8 +69,8 @@
     return {};
   }
   const auto& call = known->second;
-  auto running = attempts_.find(call.sequence_);
-  if (running != attempts_.end() && running->second.settling_) {
+  auto attempt_entry = attempts_.find(call.sequence_);
+  if (attempt_entry != attempts_.end() && attempt_entry->second.settling_) {
     return {};
   }
   auto report = call_settlement{account, program, number, call.sequence_ >> epoch_shift, call.sequence_};
@@ -95,16 +95,16 @@
   auto unused = report;
   unused.max_tokens_ = call.max_tokens_;
   auto record = charged_record(owner, unused, 0);
-  // A caller that was told that the outcome is unknown goes on with the next call and never sends this one
-  // again: its number must stay taken, or the next call would wait for it for good.
-  record.kind_ = call.told_unknown_ ? record_kind::call_charged : record_kind::call_voided;
+  // A caller that was told that the outcome is unknown continues with the next call and never sends this one
+  // again. Its number must stay in use, or the next call would wait for it forever.
+  record.kind_ = call.reported_unknown_ ? record_kind::call_charged : record_kind::call_voided;
   return {record};
 }
 
 auto program_ledger::settle(const call_settlement& report, milliseconds now) -> result<settle_decision> {
   auto* owner = find(report.account_, report.program_);
   if (owner == nullptr && report.ephemeral_) {
-    return settle_decision{};  // Its owner changed; a call without a program needs no record.
+    return settle_decision{};  // The owner changed; a call without a program needs no record.
   }
   if (owner == nullptr) {
     return error{error_code::unknown_program, "no program " + report.program_, ran_state::ran};
@@ -170,10 +170,10 @@
     owner.budget_.settle_held(record.max_tokens_, record.tokens_);
     return;
   }
-  auto running = attempts_.find(record.sequence_);
-  if (running != attempts_.end()) {
-    owner.budget_.settle(running->second.cost_, record.tokens_);
-    attempts_.erase(running);
+  auto attempt_entry = attempts_.find(record.sequence_);
+  if (attempt_entry != attempts_.end()) {
+    owner.budget_.settle(attempt_entry->second.cost_, record.tokens_);
+    attempts_.erase(attempt_entry);
   }
 }
 
@@ -235,8 +235,8 @@
   if (recovering_ && call.digest_ == 0) {
     call.digest_ = record.digest_;
   }
-  auto ours = recovering_ || call.sequence_ == record.sequence_ || call.sequence_ == 0;
-  if (call.phase_ == call_phase::answered || !ours) {
+  auto is_current = recovering_ || call.sequence_ == record.sequence_ || call.sequence_ == 0;
+  if (call.phase_ == call_phase::answered || !is_current) {
     return;
   }
   call.phase_ = call.repeatable_ ? call_phase::failed : call_phase::unresolved;
@@ -249,7 +249,7 @@
   }
   auto* owner = find(record.account_, record.program_);
   if (owner == nullptr) {
-    return;  // Of a program that was forgotten since.
+    return;  // The program was removed in the meantime.
   }
   owner->last_active_ = now;
   switch (record.kind_) {
--- a/birchlever/coordination/program_ledger_snapshot.cpp
+++ b/birchlever/coordination/program_ledger_snapshot.cpp
@@ -44,7 +44,8 @@
   return call;
 }
 
-/// The phase a call has for a reader of the durable state: in-flight attempts are not durable, intents are.
+/// Returns the phase of a call in the durable state, empty if there is none: in-flight attempts are not
+/// durable, intents are.
 auto durable_phase(const program_call& call) -> std::optional<call_phase> {
   switch (call.phase_) {
     case call_phase::answered:
@@ -67,12 +68,12 @@
   snapshot.sequence_ = sequence;
   auto segment_key = "segment/" + std::to_string(shard) + "/" + std::to_string(sequence) + "-" + random_id();
   auto programs = json::array();
-  for (const auto& [key, one] : programs_) {
-    if (!one.durable_) {
+  for (const auto& [key, owner] : programs_) {
+    if (!owner.durable_) {
       continue;
     }
     auto calls = json::array();
-    for (const auto& [number, call] : one.calls_) {
+    for (const auto& [number, call] : owner.calls_) {
       auto phase = durable_phase(call);
       if (!phase) {
         continue;
@@ -84,21 +85,21 @@
                           static_cast<std::int64_t>(call.answer_.size())};
         snapshot.segment_ += call.answer_;
         snapshot.moved_.push_back(
-            {one.account_, one.id_, number, copy.location_.offset_, copy.location_.length_});
+            {owner.account_, owner.id_, number, copy.location_.offset_, copy.location_.length_});
       }
       calls.push_back(call_to_json(copy));
     }
-    programs.push_back({{"a", one.account_},
-                        {"p", one.id_},
-                        {"po", one.policy_},
-                        {"b", one.budget_.budget()},
-                        {"r", one.budget_.reserved()},
-                        {"s", one.budget_.settled()},
-                        {"x", one.ended_},
-                        {"xr", one.end_reason_},
-                        {"up", one.upstreams_},
-                        {"at", one.attained_tokens_},
-                        {"lu", one.last_upstream_},
+    programs.push_back({{"a", owner.account_},
+                        {"p", owner.id_},
+                        {"po", owner.policy_},
+                        {"b", owner.budget_.budget()},
+                        {"r", owner.budget_.reserved()},
+                        {"s", owner.budget_.settled()},
+                        {"x", owner.ended_},
+                        {"xr", owner.end_reason_},
+                        {"up", owner.upstreams_},
+                        {"at", owner.attained_tokens_},
+                        {"lu", owner.last_upstream_},
                         {"c", std::move(calls)}});
   }
   snapshot.segment_key_ = snapshot.segment_.empty() ? "" : segment_key;
@@ -161,7 +162,7 @@
       }
     }
   } catch (const json::exception& fault) {
-    return error{error_code::malformed_json, std::string{"snapshot is not readable: "} + fault.what()};
+    return error{error_code::malformed_json, std::string{"malformed snapshot: "} + fault.what()};
   }
   return success;
 }
@@ -176,8 +177,8 @@
     apply(record, now);
   }
   recovering_ = false;
-  for (auto& [key, one] : programs_) {
-    one.budget_.hold_unsettled();
+  for (auto& [key, owner] : programs_) {
+    owner.budget_.hold_unsettled();
   }
   return success;
 }
--- a/birchlever/coordination/program_record.cpp
+++ b/birchlever/coordination/program_record.cpp
@@ -11,7 +11,7 @@
 constexpr auto spent_key = "s";
 constexpr auto reserved_key = "r";
 constexpr auto drawn_key = "d";
-constexpr auto touched_key = "t";
+constexpr auto updated_key = "t";
 constexpr auto previous_key = "p";
 constexpr auto input_key = "i";
 constexpr auto output_key = "o";
@@ -32,13 +32,13 @@
   return std::string{bytes.begin(), bytes.end()};
 }
 
-/// CBOR lets a body be any bytes; a row that can't be read is a fault of its writer, never taken for empty.
-template <class Read>
-auto reading(std::string_view value, Read read) -> result<decltype(read(json{}))> {
+/// Parses CBOR, which allows arbitrary bytes in bodies. A malformed row is an error, never an empty record.
+template <class Convert>
+auto parse_cbor(std::string_view value, Convert convert) -> result<decltype(convert(json{}))> {
   try {
-    return read(json::from_cbor(value.begin(), value.end()));
+    return convert(json::from_cbor(value.begin(), value.end()));
   } catch (const json::exception& fault) {
-    return error{error_code::malformed_json, std::string{"row of a program can't be read: "} + fault.what()};
+    return error{error_code::malformed_json, std::string{"malformed program row: "} + fault.what()};
   }
 }
 
@@ -64,14 +64,14 @@
                      [](const auto& entry) { return entry.second.expires_at_ > 0; });
 }
 
-auto program_record::begun_turns() const -> std::vector<std::string> {
-  auto begun = std::vector<std::string>{};
+auto program_record::started_turns() const -> std::vector<std::string> {
+  auto started = std::vector<std::string>{};
   for (const auto& [name, held] : reserved_) {
     if (held.expires_at_ == 0) {
-      begun.push_back(name);
+      started.push_back(name);
     }
   }
-  return begun;
+  return started;
 }
 
 auto encode(const program_record& record) -> std::string {
@@ -80,7 +80,7 @@
     reserved[name] = json::array({held.tokens_, held.expires_at_});
   }
   auto row = json{
-      {spent_key, record.spent_}, {reserved_key, std::move(reserved)}, {touched_key, record.touched_at_}};
+      {spent_key, record.spent_}, {reserved_key, std::move(reserved)}, {updated_key, record.updated_at_}};
   for (const auto& [daemon, drawn] : record.drawn_) {
     row[drawn_key][daemon] = json::array({drawn.tokens_, drawn.last_draw_, drawn.last_tokens_});
   }
@@ -88,17 +88,17 @@
 }
 
 auto decode_program(std::string_view value) -> result<program_record> {
-  return reading(value, [](const json& row) {
+  return parse_cbor(value, [](const json& row) {
     auto record = program_record{};
     row.at(spent_key).get_to(record.spent_);
     for (const auto& [name, held] : row.at(reserved_key).items()) {
-      auto leased = held.is_array();  // A plain number is what the first release wrote.
+      auto leased = held.is_array();  // The first release wrote a plain number.
       record.reserved_[name] =
           leased ? reservation{held.at(0).get<std::int64_t>(), held.at(1).get<milliseconds>()}
                  : reservation{held.get<std::int64_t>(), 0};
     }
-    row.at(touched_key).get_to(record.touched_at_);
-    auto all_drawn = row.value(drawn_key, json::object());  // Rows written before draws lack it.
+    row.at(updated_key).get_to(record.updated_at_);
+    auto all_drawn = row.value(drawn_key, json::object());  // Absent in rows of releases without draws.
     for (const auto& [daemon, drawn] : all_drawn.items()) {
       record.drawn_[daemon] = {drawn.at(0).get<std::int64_t>(), drawn.at(1).get<std::string>(),
                                drawn.at(2).get<std::int64_t>()};
@@ -115,7 +115,7 @@
 }
 
 auto decode_turn(std::string_view value) -> result<turn_record> {
-  return reading(value, [](const json& row) {
+  return parse_cbor(value, [](const json& row) {
     auto record = turn_record{};
     row.at(previous_key).get_to(record.previous_);
     record.input_ = text_of(row.at(input_key));
--- a/birchlever/coordination/program_record.h
+++ b/birchlever/coordination/program_record.h
@@ -1,4 +1,4 @@
-/// What the store keeps of a program: one row with its budget, and each turn's input and answer.
+/// Stored records of a program: its budget, and the input and output of each turn.
 #pragma once
 
 #include <cstdint>
@@ -12,61 +12,61 @@
 
 namespace birchlever {
 
-/// A part of a budget that is set aside.
+/// Tokens of a budget reserved for one turn.
 struct reservation {
-  std::int64_t tokens_ = 0;  ///< The most that its turn can generate.
+  std::int64_t tokens_ = 0;  ///< Token limit of the turn.
   milliseconds expires_at_ =
-      0;  ///< On the store's clock; 0 for a turn under way, which holds it until it ends.
+      0;  ///< On the store's clock; 0 for a turn in progress, which holds it until it ends.
 };
 
-/// What one daemon drew of a budget in advance, for turns of which nothing is kept. It counts as spent from
-/// then on, whatever becomes of the daemon.
+/// Tokens that one daemon drew from a budget in advance, for turns whose history is not stored. They count as
+/// spent from the draw on, even if the daemon is lost.
 struct drawn_tokens {
-  std::int64_t tokens_ = 0;       ///< All that it drew.
-  std::string last_draw_;         ///< Names its last draw: the turn and a number.
-  std::int64_t last_tokens_ = 0;  ///< Tokens of that draw.
+  std::int64_t tokens_ = 0;       ///< Total over all draws of the daemon.
+  std::string last_draw_;         ///< Identifies the last draw (turn and sequence number).
+  std::int64_t last_tokens_ = 0;  ///< Tokens of the last draw.
 };
 
-/// A program's budget: what its turns have spent and what those under way may still spend, in tokens. A
-/// daemon may also hold a leased reservation, for a turn that has not come yet.
+/// A program's budget: tokens spent by its turns and tokens reserved for turns in progress. A daemon may also
+/// hold a leased reservation for a turn that has not arrived yet.
 struct program_record {
   std::int64_t spent_ = 0;
-  std::map<std::string, reservation> reserved_;  ///< By turn, or by the name of a leased reservation.
-  std::map<std::string, drawn_tokens> drawn_;    ///< By daemon; these tokens are within spent_.
-  milliseconds touched_at_ = 0;                  ///< On the store's clock.
+  std::map<std::string, reservation> reserved_;  ///< By turn, or by name of a leased reservation.
+  std::map<std::string, drawn_tokens> drawn_;    ///< By daemon; these tokens are included in spent_.
+  milliseconds updated_at_ = 0;                  ///< On the store's clock.
 
-  /// Spent and reserved together.
+  /// Returns the sum of spent and reserved tokens.
   [[nodiscard]] auto committed() const -> std::int64_t;
 
-  /// Takes back leased reservations whose lease is over.
+  /// Removes expired leased reservations.
   auto drop_expired(milliseconds store_now) -> void;
 
-  /// True while some daemon may still use a leased reservation.
+  /// Returns true if there are leased reservations, which a daemon may still use.
   [[nodiscard]] auto has_leased() const -> bool;
 
-  /// Reservations of turns that were let begin: under way, or given up and not yet taken back.
-  [[nodiscard]] auto begun_turns() const -> std::vector<std::string>;
+  /// Returns the reservations of started turns: in progress, or abandoned and not released yet.
+  [[nodiscard]] auto started_turns() const -> std::vector<std::string>;
 };
 
-/// A turn whose answer was delivered whole.
+/// A turn whose response was delivered completely.
 struct turn_record {
-  std::string previous_;  ///< The turn it goes on from; empty at a program's start.
-  std::string input_;     ///< What the caller sent, byte for byte; with all before it where a program goes
-                          ///< on from another one.
-  std::string output_;    ///< The data of each event, each followed by a line feed.
-  std::string upstream_;  ///< The engine that ran it and holds its prefix.
+  std::string previous_;  ///< The turn it continues; empty at the start of a program.
+  std::string input_;   ///< The caller's input, unmodified; preceded by the inherited history if the program
+                        ///< continues another one.
+  std::string output_;  ///< The data of each event, each followed by a line feed.
+  std::string upstream_;  ///< The engine that ran the turn and may cache its prefix.
 };
 
-/// The row value of a program's budget.
+/// Serializes a program's budget row.
 [[nodiscard]] auto encode(const program_record& record) -> std::string;
 
-/// Reads a program's row. Failures: malformed_json.
+/// Parses a program's budget row. Failures: malformed_json.
 [[nodiscard]] auto decode_program(std::string_view value) -> result<program_record>;
 
-/// The row value of a turn; longer ones are cut into pieces by the store's limit.
+/// Serializes a turn. Values longer than a row are split into pieces by program_store.
 [[nodiscard]] auto encode(const turn_record& record) -> std::string;
 
-/// Reads a turn's row, its pieces put together. Failures: malformed_json.
+/// Parses a turn from its concatenated pieces. Failures: malformed_json.
 [[nodiscard]] auto decode_turn(std::string_view value) -> result<turn_record>;
 
 }  // namespace birchlever
--- a/birchlever/coordination/program_store.cpp
+++ b/birchlever/coordination/program_store.cpp
@@ -10,14 +10,13 @@
 namespace birchlever {
 namespace {
 
-constexpr auto begin_after_wait =
-    milliseconds{500};  // For a history and a reservation when the store is back.
-constexpr auto read_again_gap =
-    milliseconds{50};  // Between two readings of a history that the store refused.
+constexpr auto start_after_wait =
+    milliseconds{500};  // Time to read a history and reserve a budget after an outage.
+constexpr auto read_retry_interval = milliseconds{50};  // Delay between failed reads of a history.
 
-constexpr auto least_backlog_retry = milliseconds{500};  // A writer that was too late once would be so again.
+constexpr auto min_backlog_retry = milliseconds{500};  // An earlier retry would meet the same backlog.
 
-/// What a program has begun is carried to its end before others begin.
+/// Ranks the start of a turn. Turns of started programs precede those of new ones.
 auto rank_of(const turn_request& order) -> write_rank {
   if (order.overdue_) {
     return write_rank::late_program;
@@ -31,7 +30,7 @@
 
 }  // namespace
 
-auto program_store::store_away(const std::string& detail) const -> error {
+auto program_store::unavailable_error(const std::string& detail) const -> error {
   return error{error_code::store_unavailable, detail, ran_state::not_run, settings_.retry_after_};
 }
 
@@ -39,7 +38,9 @@
                            const program_store_settings& settings) -> result<std::shared_ptr<program_store>> {
   if (settings.row_bytes_ == 0 || settings.daemon_.empty() || settings.table_.empty() ||
       settings.parts_ < 1) {
-    return error{error_code::invalid_setting, "programs need a table, parts, and room in its rows"};
+    return error{
+        error_code::invalid_setting,
+        "program store requires a daemon name, a table, at least 1 partition and a row size above 0"};
   }
   return std::shared_ptr<program_store>{new program_store{loop, std::move(rows), settings}};
 }
@@ -67,7 +68,7 @@
   return known;
 }
 
-auto program_store::shrink() -> void {
+auto program_store::evict() -> void {
   while (cached_bytes_ > settings_.cache_bytes_) {
     auto oldest = entries_.end();
     for (auto next = entries_.begin(); next != entries_.end(); ++next) {
@@ -77,12 +78,12 @@
       }
     }
     if (oldest == entries_.end()) {
-      return;  // All that is left is in use.
+      return;  // All remaining entries are in use.
     }
     cached_bytes_ -= entry_overhead;
     for (const auto& [turn, record] : oldest->second->turns_) {
       cached_bytes_ -= bytes_of(*record);
-      homes_.erase(turn);
+      turn_programs_.erase(turn);
     }
     entries_.erase(oldest);
   }
@@ -90,35 +91,35 @@
 
 auto program_store::begin_turn(turn_request order, milliseconds time_left) -> task<result<turn_grant>> {
   auto self = shared_from_this();
-  auto patience = order.max_wait_.value_or(settings_.max_start_wait_);
-  time_left = std::min(time_left, std::max(settings_.begin_limit_, patience + begin_after_wait));
+  auto max_wait = order.max_wait_.value_or(settings_.max_start_wait_);
+  time_left = std::min(time_left, std::max(settings_.start_timeout_, max_wait + start_after_wait));
   auto due = clock_.now() + time_left;
-  auto patient_until = clock_.now() + std::min(patience, time_left);
+  auto wait_until = clock_.now() + std::min(max_wait, time_left);
   auto program = entry_of(order.program_);
   auto backlog = rows_->expected_write_wait(rank_of(order));
-  auto hopeless = backlog > std::min(patience, time_left) && program->leased_.empty();
-  if (hopeless) {  // Known before its history is read.
-    co_return error{error_code::store_unavailable, "the store has too many writes to make",
-                    ran_state::not_run, std::max(backlog, least_backlog_retry)};
+  auto overloaded = backlog > std::min(max_wait, time_left) && program->leased_.empty();
+  if (overloaded) {  // Refused before the history is read.
+    co_return error{error_code::store_unavailable, "write backlog of the store exceeds the turn's wait limit",
+                    ran_state::not_run, std::max(backlog, min_backlog_retry)};
   }
   ++program->users_;
-  auto past = co_await collect_patiently(order.program_, order.previous_, patient_until, due);
+  auto past = co_await collect_with_retry(order.program_, order.previous_, wait_until, due);
   auto reserved = ok(past) ? status{success} : status{failure(past)};
-  auto reservation = ok(past) ? take_leased(*program, order) : std::nullopt;
+  auto reservation = ok(past) ? acquire_local_lease(*program, order) : std::nullopt;
   if (ok(reserved) && !reservation) {
-    reservation = co_await take_leased_elsewhere(program, order.max_tokens_);
+    reservation = co_await acquire_remote_lease(program, order.max_tokens_);
   }
   if (ok(reserved) && !reservation) {
     reserved = co_await reserve(program, order, due - clock_.now());
   }
   --program->users_;
-  shrink();
+  evict();
   if (!ok(reserved)) {
     co_return failure(reserved);
   }
   auto grant = turn_grant{};
   grant.reservation_ = reservation.value_or(order.turn_);
-  program->begun_.insert(grant.reservation_);
+  program->started_.insert(grant.reservation_);
   const auto& turns = value(past).turns_;
   for (auto turn = turns.rbegin(); turn != turns.rend(); ++turn) {
     grant.prompt_ += (*turn)->input_;
@@ -127,36 +128,37 @@
   grant.prompt_ += order.input_;
   if (!turns.empty()) {
     grant.last_upstream_ = turns.front()->upstream_;
-    if (value(past).first_program_ != program->name_) {
+    if (value(past).newest_program_ != program->name_) {
       grant.inherited_history_ = grant.prompt_.substr(0, grant.prompt_.size() - order.input_.size());
     }
   }
   co_return grant;
 }
 
-auto program_store::collect_patiently(scoped_name program, std::string newest, milliseconds patient_until,
-                                      milliseconds due) -> task<result<chain>> {
+auto program_store::collect_with_retry(scoped_name program, std::string newest, milliseconds wait_until,
+                                       milliseconds due) -> task<result<chain>> {
   while (true) {
-    auto reachable = co_await rows_->wait_until_reachable(patient_until - clock_.now());
+    auto reachable = co_await rows_->wait_until_reachable(wait_until - clock_.now());
     if (!reachable) {
-      co_return store_away("the store does not answer");
+      co_return unavailable_error("store is unreachable");
     }
     auto past = co_await collect(program, newest, due - clock_.now());
-    auto went_away = !ok(past) && failure(past).code_ == error_code::store_unavailable;
-    if (!went_away || clock_.now() >= patient_until) {
+    auto unavailable = !ok(past) && failure(past).code_ == error_code::store_unavailable;
+    if (!unavailable || clock_.now() >= wait_until) {
       co_return past;
     }
-    co_await pause_for(*loop_, read_again_gap);
+    co_await pause_for(*loop_, read_retry_interval);
   }
 }
 
-auto program_store::take_leased(entry& program, const turn_request& order) -> std::optional<std::string> {
+auto program_store::acquire_local_lease(entry& program, const turn_request& order)
+    -> std::optional<std::string> {
   auto now = clock_.now();
   auto& leased = program.leased_;
   leased.erase(std::remove_if(leased.begin(), leased.end(),
-                              [&](const leased_reservation& one) { return one.usable_until_ <= now; }),
+                              [&](const leased_reservation& entry) { return entry.usable_until_ <= now; }),
                leased.end());
-  auto fits = [&](const leased_reservation& one) { return one.tokens_ >= order.max_tokens_; };
+  auto fits = [&](const leased_reservation& entry) { return entry.tokens_ >= order.max_tokens_; };
   auto found = std::find_if(leased.begin(), leased.end(), fits);
   if (found == leased.end()) {
     return std::nullopt;
@@ -166,17 +168,17 @@
   return name;
 }
 
-auto program_store::take_leased_elsewhere(entry_pointer program, std::int64_t tokens)
+auto program_store::acquire_remote_lease(entry_pointer program, std::int64_t tokens)
     -> task<std::optional<std::string>> {
   auto now = clock_.now();
-  auto fresh = program->record_at_ && now - *program->record_at_ <= settings_.lease_view_;
-  if (!budget_peers_ || !fresh) {
+  auto is_current = program->record_at_ && now - *program->record_at_ <= settings_.lease_max_age_;
+  if (!budget_peers_ || !is_current) {
     co_return std::nullopt;
   }
   for (const auto& [name, held] : program->record_.reserved_) {
     auto holder = holder_of_lease(name);
     auto usable = held.expires_at_ > 0 && held.tokens_ >= tokens && !holder.empty();
-    if (!usable || holder == settings_.daemon_ || program->begun_.count(name) != 0) {
+    if (!usable || holder == settings_.daemon_ || program->started_.count(name) != 0) {
       continue;
     }
     auto reservation = name;
@@ -192,8 +194,8 @@
     return false;
   }
   auto& leased = known->second->leased_;
-  auto is_it = [&](const leased_reservation& one) { return one.name_ == reservation; };
-  auto found = std::find_if(leased.begin(), leased.end(), is_it);
+  auto matches = [&](const leased_reservation& entry) { return entry.name_ == reservation; };
+  auto found = std::find_if(leased.begin(), leased.end(), matches);
   auto usable = found != leased.end() && found->usable_until_ > clock_.now() + settings_.lease_margin_;
   if (usable) {
     leased.erase(found);
@@ -203,23 +205,24 @@
 
 auto program_store::reserve(entry_pointer program, const turn_request& order, milliseconds time_left)
     -> task<status> {
-  auto wanted = std::make_shared<change>(*loop_);
-  wanted->turn_ = order.turn_;
-  wanted->reservation_ = order.turn_;
-  wanted->tokens_ = order.max_tokens_;
-  wanted->budget_ = order.budget_;
-  wanted->begin_rank_ = rank_of(order);
-  auto patience = order.max_wait_.value_or(settings_.max_start_wait_);
-  wanted->give_up_at_ = clock_.now() + std::min(time_left, patience);
+  auto pending = std::make_shared<change>(*loop_);
+  pending->turn_ = order.turn_;
+  pending->reservation_ = order.turn_;
+  pending->tokens_ = order.max_tokens_;
+  pending->budget_ = order.budget_;
+  pending->start_rank_ = rank_of(order);
+  auto max_wait = order.max_wait_.value_or(settings_.max_start_wait_);
+  pending->times_out_at_ = clock_.now() + std::min(time_left, max_wait);
   if (order.previous_.empty() && program->version_ == version_not_read) {
-    program->version_ = version_absent;  // A first turn; a program that exists shows itself as a conflict.
+    program->version_ =
+        version_absent;  // First turn: assume a new program; an existing one causes a conflict.
   }
-  queue(program, wanted);
-  auto reserved = co_await wait_for(wanted, time_left);
+  queue(program, pending);
+  auto reserved = co_await wait_for(pending, time_left);
   if (!ok(reserved)) {
-    wanted->expired_ = true;
-    wanted->give_up_at_ = clock_.now();
-    auto may_be_reserved = wanted->sent_ && failure(reserved).code_ != error_code::budget_exhausted;
+    pending->expired_ = true;
+    pending->times_out_at_ = clock_.now();
+    auto may_be_reserved = pending->sent_ && failure(reserved).code_ != error_code::budget_exhausted;
     if (may_be_reserved) {
       cancel_turn(order.program_, order.turn_);
     }
@@ -230,51 +233,51 @@
 auto program_store::end_turn(turn_completion ended, milliseconds time_left) -> task<status> {
   auto self = shared_from_this();
   auto program = entry_of(ended.program_);
-  program->begun_.erase(ended.reservation_);
-  auto wanted = std::make_shared<change>(*loop_);
-  wanted->kind_ = change::kind::settle;
-  wanted->turn_ = ended.turn_;
-  wanted->turn_key_ = key_name(scoped_name{ended.program_.account_, ended.turn_});
-  wanted->reservation_ = ended.reservation_;
-  wanted->tokens_ = ended.tokens_;
-  wanted->max_tokens_ = ended.max_tokens_;
-  wanted->max_next_duration_ = ended.max_next_duration_;
-  wanted->budget_ = ended.budget_;
-  wanted->give_up_at_ = clock_.now() + std::max(time_left, settings_.cleanup_patience_);
+  program->started_.erase(ended.reservation_);
+  auto pending = std::make_shared<change>(*loop_);
+  pending->kind_ = change::kind::settle;
+  pending->turn_ = ended.turn_;
+  pending->turn_key_ = key_name(scoped_name{ended.program_.account_, ended.turn_});
+  pending->reservation_ = ended.reservation_;
+  pending->tokens_ = ended.tokens_;
+  pending->max_tokens_ = ended.max_tokens_;
+  pending->max_next_duration_ = ended.max_next_duration_;
+  pending->budget_ = ended.budget_;
+  pending->times_out_at_ = clock_.now() + std::max(time_left, settings_.cleanup_timeout_);
   if (ended.record_) {
-    wanted->record_ = std::make_shared<const turn_record>(std::move(*ended.record_));
+    pending->record_ = std::make_shared<const turn_record>(std::move(*ended.record_));
   }
-  queue(program, wanted);
-  co_return co_await wait_for(wanted, time_left);
+  queue(program, pending);
+  co_return co_await wait_for(pending, time_left);
 }
 
 auto program_store::cancel_turn(const scoped_name& program, const std::string& reservation) -> void {
-  auto wanted = std::make_shared<change>(*loop_);
-  wanted->kind_ = change::kind::release;
-  wanted->turn_ = reservation;
-  wanted->reservation_ = reservation;
-  wanted->give_up_at_ = clock_.now() + settings_.cleanup_patience_;
-  entry_of(program)->begun_.erase(reservation);
-  queue(entry_of(program), wanted);
+  auto pending = std::make_shared<change>(*loop_);
+  pending->kind_ = change::kind::release;
+  pending->turn_ = reservation;
+  pending->reservation_ = reservation;
+  pending->times_out_at_ = clock_.now() + settings_.cleanup_timeout_;
+  entry_of(program)->started_.erase(reservation);
+  queue(entry_of(program), pending);
 }
 
-auto program_store::queue(const entry_pointer& program, change_pointer wanted) -> void {
-  program->queue_.push_back(std::move(wanted));
+auto program_store::queue(const entry_pointer& program, change_pointer pending) -> void {
+  program->queue_.push_back(std::move(pending));
   if (!program->writing_) {
     program->writing_ = true;
     start(*loop_, "write_changes", write_changes(program));
   }
 }
 
-auto program_store::wait_for(change_pointer wanted, milliseconds time_left) -> task<status> {
+auto program_store::wait_for(change_pointer pending, milliseconds time_left) -> task<status> {
   auto due = clock_.now() + time_left;
-  while (!wanted->done_ && clock_.now() < due) {
-    co_await wanted->finished_.wait_for(due - clock_.now());
+  while (!pending->done_ && clock_.now() < due) {
+    co_await pending->finished_.wait_for(due - clock_.now());
   }
-  if (!wanted->done_) {
-    co_return store_away("the store has not answered in time");
+  if (!pending->done_) {
+    co_return unavailable_error("store did not respond in time");
   }
-  co_return wanted->outcome_;
+  co_return pending->outcome_;
 }
 
 }  // namespace birchlever
--- a/birchlever/coordination/program_store_read.cpp
+++ b/birchlever/coordination/program_store_read.cpp
@@ -1,4 +1,4 @@
-/// The half of program_store that brings rows into memory.
+/// The part of program_store that reads rows into memory.
 #include <algorithm>
 #include <set>
 
@@ -7,58 +7,59 @@
 namespace birchlever {
 namespace {
 
-constexpr auto behind_key = '\x01';  // Makes the next key after a given one.
+constexpr auto key_successor =
+    '\x01';  // Appended to a key, gives the exclusive end of a range of only that key.
 
-auto begins_with(const std::string& text, const std::string& start) -> bool {
+auto starts_with(const std::string& text, const std::string& start) -> bool {
   return text.compare(0, start.size(), start) == 0;
 }
 
-/// What the parts answered to the question for a turn's program.
+/// Results of the partitions in the search for a turn's program.
 struct part_search {
-  explicit part_search(event_loop& loop) : answered_{loop} {}
+  explicit part_search(event_loop& loop) : responded_{loop} {}
 
-  int open_ = 0;
+  int pending_partitions_ = 0;
   std::optional<std::string> program_;
   std::optional<error> failure_;
-  loop_signal answered_;
+  loop_signal responded_;
 };
 
-auto ask_part(std::shared_ptr<row_store_interface> rows, row_range range, milliseconds time_left,
-              std::shared_ptr<part_search> search) -> task<> {
+auto search_partition(std::shared_ptr<row_store_interface> rows, row_range range, milliseconds time_left,
+                      std::shared_ptr<part_search> search) -> task<> {
   auto page = co_await rows->read(range, time_left);
-  --search->open_;
+  --search->pending_partitions_;
   if (!ok(page)) {
     search->failure_ = failure(page);
   } else if (!value(page).rows_.empty()) {
     search->program_ = value(page).rows_.front().value_;
   }
-  search->answered_.notify();
+  search->responded_.notify();
 }
 
 }  // namespace
 
-auto program_store::remember(entry& program, const std::string& turn, record_pointer record) -> void {
+auto program_store::cache_turn(entry& program, const std::string& turn, record_pointer record) -> void {
   auto bytes = bytes_of(*record);
   if (program.turns_.emplace(turn, std::move(record)).second) {
-    homes_[turn] = program.name_;
+    turn_programs_[turn] = program.name_;
     cached_bytes_ += bytes;
   }
 }
 
 auto program_store::cached(const std::string& turn) const -> record_pointer {
-  auto home = homes_.find(turn);
-  if (home == homes_.end()) {
+  auto turn_program = turn_programs_.find(turn);
+  if (turn_program == turn_programs_.end()) {
     return nullptr;
   }
-  return entries_.at(home->second)->turns_.at(turn);
+  return entries_.at(turn_program->second)->turns_.at(turn);
 }
 
-auto program_store::take_rows(entry& program, const std::vector<stored_row>& rows) -> status {
+auto program_store::apply_rows(entry& program, const std::vector<stored_row>& rows) -> status {
   auto prefix = turns_prefix(program.name_);
   auto pieces = std::map<std::string, std::string>{};
   for (const auto& row : rows) {
     if (row.version_ == version_absent || row.removed_) {
-      continue;  // A condition's row that is not there.
+      continue;  // The row of a condition does not exist.
     }
     if (row.key_.key_ == budget_key(program.name_)) {
       auto decoded = decode_program(row.value_);
@@ -67,7 +68,7 @@
       }
       program.record_ = std::move(value(decoded));
       program.version_ = row.version_;
-    } else if (begins_with(row.key_.key_, prefix)) {
+    } else if (starts_with(row.key_.key_, prefix)) {
       auto name = row.key_.key_.substr(prefix.size());
       pieces[name.substr(0, name.rfind('/'))] += row.value_;
     }
@@ -80,35 +81,35 @@
     if (!ok(decoded)) {
       return failure(decoded);
     }
-    remember(program, turn, std::make_shared<const turn_record>(std::move(value(decoded))));
+    cache_turn(program, turn, std::make_shared<const turn_record>(std::move(value(decoded))));
   }
   return success;
 }
 
 auto program_store::load(entry_pointer program, bool with_turns, milliseconds time_left) -> task<status> {
   auto first = budget_key(program->name_);
-  auto range = row_range{settings_.table_, program->part_, first, first + behind_key};
+  auto range = row_range{settings_.table_, program->part_, first, first + key_successor};
   if (with_turns) {
     range.until_ = end_of_turns(program->name_);
   }
-  auto asked_at = clock_.now();
+  auto requested_at = clock_.now();
   auto page = co_await read_all(*rows_, range, settings_.call_limit_, time_left);
   if (!ok(page)) {
     co_return failure(page);
   }
-  note_store_clock(value(page).store_now_, asked_at);
-  // A transaction under way may have moved the budget on since; its condition then tells.
+  record_store_clock(value(page).store_now_, requested_at);
+  // A concurrent transaction may have changed the budget since; the next write then conflicts.
   program->version_ = version_absent;
   program->record_ = program_record{};
-  program->record_at_ = asked_at;
-  co_return take_rows(*program, value(page).rows_);
+  program->record_at_ = requested_at;
+  co_return apply_rows(*program, value(page).rows_);
 }
 
 auto program_store::collect(scoped_name program, std::string newest, milliseconds time_left)
     -> task<result<chain>> {
   auto due = clock_.now() + time_left;
   auto found = chain{};
-  auto home = key_name(program);
+  auto turn_program = key_name(program);
   auto key_of = [&](const std::string& turn) {
     return turn.empty() ? std::string{} : key_name(scoped_name{program.account_, turn});
   };
@@ -116,16 +117,16 @@
   while (!next.empty()) {
     auto record = cached(next);
     if (!record) {
-      auto fetched = co_await fetch(home, next, due - clock_.now());
+      auto fetched = co_await fetch(turn_program, next, due - clock_.now());
       if (!ok(fetched)) {
         co_return failure(fetched);
       }
       record = value(fetched);
     }
-    auto at = homes_.find(next);
-    home = at == homes_.end() ? home : at->second;
+    auto at = turn_programs_.find(next);
+    turn_program = at == turn_programs_.end() ? turn_program : at->second;
     if (found.turns_.empty()) {
-      found.first_program_ = home;
+      found.newest_program_ = turn_program;
     }
     next = key_of(record->previous_);
     found.turns_.push_back(std::move(record));
@@ -138,44 +139,45 @@
   auto due = clock_.now() + time_left;
   auto loaded = co_await load(entry_named(program), true, time_left);
   if (!ok(loaded)) {
-    co_return store_away("the history can't be read: " + failure(loaded).detail_);
+    co_return unavailable_error("history of the turn is not readable: " + failure(loaded).detail_);
   }
   if (auto record = cached(turn)) {
     co_return record;
   }
-  auto home = co_await find_program(turn, due - clock_.now());
-  if (!ok(home)) {
-    co_return store_away("the turn's program can't be looked up: " + failure(home).detail_);
+  auto turn_program = co_await find_program(turn, due - clock_.now());
+  if (!ok(turn_program)) {
+    co_return unavailable_error("lookup of the turn's program failed: " + failure(turn_program).detail_);
   }
-  if (value(home)) {
-    loaded = co_await load(entry_named(*value(home)), true, due - clock_.now());
+  if (value(turn_program)) {
+    loaded = co_await load(entry_named(*value(turn_program)), true, due - clock_.now());
     if (!ok(loaded)) {
-      co_return store_away("the history can't be read: " + failure(loaded).detail_);
+      co_return unavailable_error("history of the turn is not readable: " + failure(loaded).detail_);
     }
   }
   if (auto record = cached(turn)) {
     co_return record;
   }
-  co_return error{error_code::unknown_turn, "no turn " + turn + " is kept"};
+  co_return error{error_code::unknown_turn, "turn " + turn + " is not stored"};
 }
 
 auto program_store::find_program(std::string turn, milliseconds time_left)
     -> task<result<std::optional<std::string>>> {
   auto due = clock_.now() + time_left;
   auto search = std::make_shared<part_search>(*loop_);
-  search->open_ = settings_.parts_;
+  search->pending_partitions_ = settings_.parts_;
   for (auto part = 0; part < settings_.parts_; ++part) {
-    auto range = row_range{settings_.index_table_, part_name(part), turn, turn + behind_key, 1};
-    start(*loop_, "ask_part", ask_part(rows_, std::move(range), time_left, search));
+    auto range = row_range{settings_.index_table_, part_name(part), turn, turn + key_successor, 1};
+    start(*loop_, "ask_part", search_partition(rows_, std::move(range), time_left, search));
   }
-  while (search->open_ > 0 && !search->program_ && clock_.now() < due) {
-    co_await search->answered_.wait_for(due - clock_.now());
+  while (search->pending_partitions_ > 0 && !search->program_ && clock_.now() < due) {
+    co_await search->responded_.wait_for(due - clock_.now());
   }
   if (search->program_) {
     co_return search->program_;
   }
-  if (search->failure_ || search->open_ > 0) {
-    co_return search->failure_.value_or(store_away("a part of the index does not answer"));
+  if (search->failure_ || search->pending_partitions_ > 0) {
+    co_return search->failure_.value_or(
+        unavailable_error("a partition of the index did not respond in time"));
   }
   co_return std::optional<std::string>{};
 }
--- a/birchlever/coordination/program_store_state.h
+++ b/birchlever/coordination/program_store_state.h
@@ -1,4 +1,4 @@
-/// What program_store keeps to itself, shared by its three source files.
+/// Internal types of program_store, shared by its source files.
 #pragma once
 
 #include <set>
@@ -8,110 +8,118 @@
 
 namespace birchlever {
 
-/// The version of a row that was not read yet.
+/// Version of a row that has not been read yet.
 inline constexpr auto version_not_read = std::int64_t{-1};
 
-/// The version that stands for no row.
+/// Version of a row that does not exist.
 inline constexpr auto version_absent = std::int64_t{0};
 
-/// Bytes that an entry or a record costs beside its texts, roughly.
+/// Approximate memory overhead of an entry or a record, in bytes.
 inline constexpr auto entry_overhead = std::size_t{512};
 
-/// Bytes that a turn takes in memory.
+/// Returns the approximate memory use of a turn in bytes.
 [[nodiscard]] inline auto bytes_of(const turn_record& record) -> std::size_t {
   return record.input_.size() + record.output_.size() + entry_overhead;
 }
 
-/// One wanted change of a program's rows, and what became of it.
+/// A pending change of a program's rows, and its outcome.
 struct program_store::change {
   enum class kind {
-    reserve,  ///< Of a turn whose history is kept.
-    draw,     ///< For turns of which nothing is kept.
+    reserve,  ///< For a turn whose history is stored.
+    draw,     ///< For turns whose history is not stored.
     settle,
     release
   };
 
   explicit change(event_loop& loop) : finished_{loop} {}
 
-  /// True when it lets a turn begin: then nobody wants it any more once its caller has left.
-  [[nodiscard]] auto begins_turn() const -> bool { return kind_ == kind::reserve || kind_ == kind::draw; }
+  /// Returns true if the change starts a turn. Such a change is obsolete once its caller has left.
+  [[nodiscard]] auto starts_turn() const -> bool { return kind_ == kind::reserve || kind_ == kind::draw; }
 
-  /// How urgent its write is.
+  /// Returns the priority of the write.
   [[nodiscard]] auto rank() const -> write_rank {
     if (kind_ == kind::settle && record_) {
       return write_rank::ends_turn;
     }
-    if (begins_turn()) {
-      return begin_rank_;
+    if (starts_turn()) {
+      return start_rank_;
     }
     return write_rank::cleans_up;
   }
 
   kind kind_ = kind::reserve;
-  write_rank begin_rank_ = write_rank::continues_program;  ///< Of a turn that wants to begin.
+  write_rank start_rank_ = write_rank::continues_program;  ///< Priority if the change starts a turn.
   std::string turn_;
-  std::string turn_key_;  ///< As it stands in keys; of a settled turn.
+  std::string turn_key_;  ///< Key name of a settled turn.
   std::string reservation_;
   std::int64_t tokens_ = 0;
   std::int64_t max_tokens_ = 0;
   milliseconds max_next_duration_ = 0;
   std::optional<std::int64_t> budget_;
   std::shared_ptr<const turn_record> record_;
-  milliseconds give_up_at_ = 0;
-  bool sent_ = false;       ///< A transaction with it went out, so it may have been done.
-  bool expired_ = false;    ///< Its caller has left.
-  bool looked_up_ = false;  ///< The turn's row was looked for, after a transaction without an answer.
+  milliseconds times_out_at_ = 0;
+  bool sent_ = false;          ///< Was part of a transaction that was sent, so it may be committed.
+  bool expired_ = false;       ///< The caller has left.
+  bool turn_checked_ = false;  ///< The turn's row was read after a transaction without a response.
   bool done_ = false;
   status outcome_ = success;
   loop_signal finished_;
 };
 
-/// Between a turn and the daemon in the name of a reservation that this daemon holds for the next one.
-inline constexpr auto lease_sign = '+';
+/// Separates turn and daemon in the name of a leased reservation.
+inline constexpr auto lease_separator = '+';
 
-/// The daemon that holds a reservation for a next turn, by its name; empty for other reservations.
+/// Returns the daemon that holds a leased reservation, given the reservation's name; empty for other
+/// reservations.
 [[nodiscard]] inline auto holder_of_lease(const std::string& reservation) -> std::string {
-  auto sign = reservation.rfind(lease_sign);
+  auto sign = reservation.rfind(lease_separator);
   return sign == std::string::npos ? std::string{} : reservation.substr(sign + 1);
 }
 
-/// A reservation that is durable already, for the next turn that comes here.
+/// A durable reservation for the next turn of a program that arrives at this daemon.
 struct leased_reservation {
   std::string name_;
   std::int64_t tokens_ = 0;
-  milliseconds usable_until_ = 0;  ///< On our clock.
+  milliseconds usable_until_ = 0;  ///< On the local clock.
 };
 
-/// What this daemon knows of a program.
+/// Cached state of a program.
 struct program_store::entry {
-  std::string name_;  ///< As it stands in keys.
+  std::string name_;  ///< Name in keys.
   std::string part_;
   program_record record_;
   std::int64_t version_ = version_not_read;
-  std::optional<milliseconds> record_at_;  ///< When the record was known to be the newest, on our clock.
+  std::optional<milliseconds> record_at_;  ///< Time at which the record was the newest, on the local clock.
   std::unordered_map<std::string, std::shared_ptr<const turn_record>> turns_;
   std::vector<leased_reservation> leased_;
-  std::set<std::string> begun_;      ///< Reservations of turns that run through this daemon.
-  std::int64_t drawn_ = 0;           ///< Tokens that this daemon drew and that no turn uses now.
-  std::set<std::string> handed_to_;  ///< Daemons that got some of what was drawn here.
+  std::set<std::string> started_;         ///< Reservations of turns in progress on this daemon.
+  std::int64_t drawn_ = 0;                ///< Tokens drawn by this daemon and not used by a turn.
+  std::set<std::string> transferred_to_;  ///< Daemons that received drawn tokens from this one.
   std::deque<change_pointer> queue_;
   bool writing_ = false;
   int users_ = 0;
   milliseconds last_used_ = 0;
 };
 
-/// What a change does to a record.
-enum class program_store::verdict { applied, done_before, over_budget, budget_leased, expired, unclear };
+/// Result of applying a change to a record.
+enum class program_store::change_result {
+  applied,
+  done_before,
+  over_budget,
+  budget_leased,
+  expired,
+  unclear
+};
 
-/// The transaction that makes the next changes of a program.
+/// A transaction that makes the next changes of a program.
 struct program_store::batch_plan {
   program_record record_;
   row_transaction transaction_;
-  std::vector<std::pair<change_pointer, verdict>> changes_;
+  std::vector<std::pair<change_pointer, change_result>> changes_;
   bool writes_ = false;
   std::vector<leased_reservation> leased_;
-  bool needs_fresh_ = false;  ///< A refusal would rest on a record that others may have changed.
-  bool needs_turns_ = false;  ///< Only the turns' rows tell whether a change was made.
+  bool needs_reload_ = false;  ///< A refusal would be based on a record that may be stale.
+  bool needs_turns_ = false;   ///< The turns' rows must be read to determine whether a change was made.
 };
 
 }  // namespace birchlever
--- a/birchlever/coordination/program_store_write.cpp
+++ b/birchlever/coordination/program_store_write.cpp
@@ -1,4 +1,4 @@
-/// The half of program_store that turns wanted changes into transactions.
+/// The part of program_store that turns pending changes into transactions.
 #include <algorithm>
 #include <array>
 #include <cstdio>
@@ -10,10 +10,10 @@
 namespace birchlever {
 namespace {
 
-constexpr auto most_batch = std::size_t{16};       // Changes in one transaction, which may hold 100 rows.
-constexpr auto most_rows = std::size_t{40};        // Rows at which a batch takes no further change.
-constexpr auto first_pause_ms = milliseconds{40};  // Between tries while the store gives no answer.
-constexpr auto longest_pause_ms = milliseconds{400};
+constexpr auto max_batch = std::size_t{16};         // Changes per transaction, which may contain 100 rows.
+constexpr auto max_rows = std::size_t{40};          // A batch with this many rows takes no further change.
+constexpr auto min_retry_delay = milliseconds{40};  // Between attempts while the store does not respond.
+constexpr auto max_retry_delay = milliseconds{400};
 
 auto piece_name(int piece) -> std::string {
   auto number = std::array<char, 16>{};
@@ -23,23 +23,23 @@
 
 }  // namespace
 
-auto program_store::finish(const change_pointer& wanted, status outcome) -> void {
-  wanted->done_ = true;
-  wanted->outcome_ = std::move(outcome);
-  wanted->finished_.notify();
+auto program_store::complete_change(const change_pointer& pending, status outcome) -> void {
+  pending->done_ = true;
+  pending->outcome_ = std::move(outcome);
+  pending->finished_.notify();
 }
 
-auto program_store::drop_overdue(entry& program, const error& reason) -> void {
+auto program_store::expire_changes(entry& program, const error& reason) -> void {
   auto now = clock_.now();
-  auto overdue = [&](const change_pointer& wanted) {
-    if (wanted->give_up_at_ > now) {
+  auto overdue = [&](const change_pointer& pending) {
+    if (pending->times_out_at_ > now) {
       return false;
     }
-    if (!wanted->begins_turn()) {
-      log_event(log_level::error, "program_change_given_up",
-                {{"program", program.name_}, {"request", wanted->turn_}, {"detail", reason.detail_}});
+    if (!pending->starts_turn()) {
+      log_event(log_level::error, "program_change_abandoned",
+                {{"program", program.name_}, {"request", pending->turn_}, {"detail", reason.detail_}});
     }
-    finish(wanted, store_away(reason.detail_));
+    complete_change(pending, unavailable_error(reason.detail_));
     return true;
   };
   program.queue_.erase(std::remove_if(program.queue_.begin(), program.queue_.end(), overdue),
@@ -48,119 +48,120 @@
 
 auto program_store::write_changes(entry_pointer program) -> task<> {
   auto self = shared_from_this();
-  auto pause = first_pause_ms;
+  auto delay = min_retry_delay;
   while (!program->queue_.empty()) {
     auto written = co_await write_batch(program);
     if (ok(written)) {
-      pause = first_pause_ms;
+      delay = min_retry_delay;
       continue;
     }
-    drop_overdue(*program, failure(written));
-    co_await pause_for(*loop_, pause);
-    co_await rows_->wait_until_reachable(longest_pause_ms);
-    pause = std::min(2 * pause, longest_pause_ms);
+    expire_changes(*program, failure(written));
+    co_await pause_for(*loop_, delay);
+    co_await rows_->wait_until_reachable(max_retry_delay);
+    delay = std::min(2 * delay, max_retry_delay);
   }
   program->writing_ = false;
-  shrink();
+  evict();
 }
 
-auto program_store::note_store_clock(milliseconds store_now, milliseconds asked_at) -> void {
+auto program_store::record_store_clock(milliseconds store_now, milliseconds requested_at) -> void {
   auto now = clock_.now();
-  // The store read its clock before the answer came, so the difference is never too large.
-  store_clock_ahead_ = store_now - now;
-  store_clock_error_ = now - asked_at;
+  // The store read its clock before the response arrived, so the offset is never too large.
+  store_clock_offset_ = store_now - now;
+  store_clock_error_ = now - requested_at;
   store_clock_known_ = true;
 }
 
-auto program_store::refusal_of(const entry& program, const change& wanted, const program_record& record) const
-    -> std::optional<verdict> {
-  if (!wanted.budget_ || record.committed() + wanted.tokens_ <= *wanted.budget_) {
+auto program_store::check_budget(const entry& program, const change& pending,
+                                 const program_record& record) const -> std::optional<change_result> {
+  if (!pending.budget_ || record.committed() + pending.tokens_ <= *pending.budget_) {
     return std::nullopt;
   }
-  auto spent_alone = record.spent_ + wanted.tokens_ > *wanted.budget_;
-  // A single turn that another daemon let begin may be one that was refused since its reservation was not
-  // answered in time: the caller's next try comes before that reservation is taken back. Several are lines of
-  // turns that run.
-  auto begun = record.begun_turns();
-  auto may_be_given_up = begun.size() == 1 && program.begun_.count(begun.front()) == 0;
-  auto held = record.has_leased() || may_be_given_up;
-  return held && !spent_alone ? verdict::budget_leased : verdict::over_budget;
+  auto spent_alone = record.spent_ + pending.tokens_ > *pending.budget_;
+  // A single turn started by another daemon may be one that was refused because its reservation timed out:
+  // the caller's retry can arrive before that reservation is released. Several started turns are running in
+  // parallel.
+  auto started = record.started_turns();
+  auto may_be_abandoned = started.size() == 1 && program.started_.count(started.front()) == 0;
+  auto is_held = record.has_leased() || may_be_abandoned;
+  return is_held && !spent_alone ? change_result::budget_leased : change_result::over_budget;
 }
 
-auto program_store::apply_reserve(const entry& program, const change& wanted, program_record& record) const
-    -> verdict {
-  if (record.reserved_.count(wanted.reservation_) != 0) {
-    return verdict::done_before;
+auto program_store::apply_reserve(const entry& program, const change& pending, program_record& record) const
+    -> change_result {
+  if (record.reserved_.count(pending.reservation_) != 0) {
+    return change_result::done_before;
   }
-  if (refusal_of(program, wanted, record) && store_clock_known_) {
+  if (check_budget(program, pending, record) && store_clock_known_) {
     record.drop_expired(store_now());
   }
-  if (auto refused = refusal_of(program, wanted, record)) {
+  if (auto refused = check_budget(program, pending, record)) {
     return *refused;
   }
-  record.reserved_[wanted.reservation_] = {wanted.tokens_, 0};
-  return verdict::applied;
+  record.reserved_[pending.reservation_] = {pending.tokens_, 0};
+  return change_result::applied;
 }
 
-auto program_store::apply_settle(const entry& program, const change& wanted, program_record& record)
-    -> verdict {
-  auto reserved = record.reserved_.find(wanted.reservation_);
-  auto held = reserved != record.reserved_.end();
-  if (!held && wanted.sent_) {
-    // Made by a transaction without an answer, or its lease was over and the reservation was taken back.
-    if (!wanted.record_ || program.turns_.count(wanted.turn_key_) != 0) {
-      return verdict::done_before;
+auto program_store::apply_settle(const entry& program, const change& pending, program_record& record)
+    -> change_result {
+  auto reserved = record.reserved_.find(pending.reservation_);
+  auto is_held = reserved != record.reserved_.end();
+  if (!is_held && pending.sent_) {
+    // Either an earlier transaction without a response was committed, or the expired reservation was removed.
+    if (!pending.record_ || program.turns_.count(pending.turn_key_) != 0) {
+      return change_result::done_before;
     }
-    if (!wanted.looked_up_) {
-      return verdict::unclear;
+    if (!pending.turn_checked_) {
+      return change_result::unclear;
     }
   }
-  record.spent_ += wanted.tokens_;
-  if (held) {
+  record.spent_ += pending.tokens_;
+  if (is_held) {
     record.reserved_.erase(reserved);
   }
-  return verdict::applied;
+  return change_result::applied;
 }
 
-auto program_store::apply(const entry& program, const change& wanted, program_record& record) const
-    -> verdict {
-  switch (wanted.kind_) {
+auto program_store::apply(const entry& program, const change& pending, program_record& record) const
+    -> change_result {
+  switch (pending.kind_) {
     case change::kind::reserve:
-      return apply_reserve(program, wanted, record);
+      return apply_reserve(program, pending, record);
     case change::kind::draw:
-      return apply_draw(program, wanted, record);
+      return apply_draw(program, pending, record);
     case change::kind::settle:
-      return apply_settle(program, wanted, record);
+      return apply_settle(program, pending, record);
     case change::kind::release:
-      // Written also when there is nothing to release: the new version keeps a reservation whose answer was
-      // lost from being made later.
-      record.reserved_.erase(wanted.reservation_);
-      return verdict::applied;
+      // Written even if there is nothing to release: the new version prevents a late commit of a reservation
+      // whose response was lost.
+      record.reserved_.erase(pending.reservation_);
+      return change_result::applied;
   }
-  return verdict::done_before;
+  return change_result::done_before;
 }
 
-auto program_store::lease_next(entry& program, const change& settled, batch_plan& planned) const -> void {
-  auto held = program.leased_.size() + planned.leased_.size();
+auto program_store::lease_next_turn(entry& program, const change& settled, batch_plan& planned) const
+    -> void {
+  auto leased_count = program.leased_.size() + planned.leased_.size();
   auto& record = planned.record_;
-  // Room for one turn through another daemon stays, so that a lease seldom makes that one wait.
+  // Leaves budget for one turn through another daemon, so that a lease rarely makes that turn wait.
   auto fits = settled.budget_ && record.committed() + 2 * settled.max_tokens_ <= *settled.budget_;
-  if (!settled.record_ || !fits || !store_clock_known_ || held >= settings_.most_leased_) {
+  if (!settled.record_ || !fits || !store_clock_known_ || leased_count >= settings_.max_leased_) {
     return;
   }
   auto usable_until = clock_.now() + settings_.reservation_lease_;
-  auto next = leased_reservation{settled.turn_key_ + lease_sign + settings_.daemon_, settled.max_tokens_,
+  auto next = leased_reservation{settled.turn_key_ + lease_separator + settings_.daemon_, settled.max_tokens_,
                                  usable_until - store_clock_error_};
   auto longest_turn = std::max(settings_.max_turn_duration_, settled.max_next_duration_);
-  auto expires_at = usable_until + store_clock_ahead_ + longest_turn;
+  auto expires_at = usable_until + store_clock_offset_ + longest_turn;
   record.reserved_[next.name_] = {next.tokens_, expires_at};
   planned.leased_.push_back(std::move(next));
 }
 
-auto program_store::add_turn_rows(const entry& program, const change& wanted,
+auto program_store::add_turn_rows(const entry& program, const change& pending,
                                   row_transaction& transaction) const -> void {
-  auto bytes = encode(*wanted.record_);
-  const auto& turn = wanted.turn_key_;
+  auto bytes = encode(*pending.record_);
+  const auto& turn = pending.turn_key_;
   auto piece = 0;
   for (auto at = std::size_t{0}; at < bytes.size(); at += settings_.row_bytes_) {
     auto key = turns_prefix(program.name_) + turn + "/" + piece_name(piece++);
@@ -170,45 +171,47 @@
   transaction.puts_.push_back({{settings_.index_table_, program.part_, turn}, program.name_});
 }
 
-auto program_store::plan(entry& program, bool fresh) -> batch_plan {
+auto program_store::plan(entry& program, bool is_current) -> batch_plan {
   auto planned = batch_plan{};
   planned.record_ = program.record_;
   auto now = clock_.now();
   auto has_draw = false;
-  for (const auto& wanted : program.queue_) {
-    // A daemon's record names its last draw only, so that a transaction holds one at most.
-    auto second_draw = wanted->kind_ == change::kind::draw && std::exchange(has_draw, true);
-    auto full = planned.changes_.size() >= most_batch || planned.transaction_.puts_.size() >= most_rows;
-    if (second_draw || full) {
+  for (const auto& pending : program.queue_) {
+    // The record stores only the last draw of a daemon, so a transaction contains at most one draw.
+    auto second_draw = pending->kind_ == change::kind::draw && std::exchange(has_draw, true);
+    auto batch_full = planned.changes_.size() >= max_batch || planned.transaction_.puts_.size() >= max_rows;
+    if (second_draw || batch_full) {
       break;
     }
-    auto expired = wanted->begins_turn() && wanted->give_up_at_ <= now && wanted->expired_;
-    auto what = expired ? verdict::expired : apply(program, *wanted, planned.record_);
-    // What is spent only grows, so a refusal that rests on it alone needs no look at the newest record.
-    auto sure = fresh || (program.record_at_ && now - *program.record_at_ <= settings_.budget_view_) ||
-                planned.record_.spent_ + wanted->tokens_ > wanted->budget_.value_or(0);
-    if ((what == verdict::over_budget || what == verdict::budget_leased) && !sure) {
-      planned.needs_fresh_ = true;
+    auto expired = pending->starts_turn() && pending->times_out_at_ <= now && pending->expired_;
+    auto change_outcome = expired ? change_result::expired : apply(program, *pending, planned.record_);
+    // Spent tokens only increase, so a refusal based on them alone does not need the newest record.
+    auto definitive = is_current ||
+                      (program.record_at_ && now - *program.record_at_ <= settings_.budget_max_age_) ||
+                      planned.record_.spent_ + pending->tokens_ > pending->budget_.value_or(0);
+    if ((change_outcome == change_result::over_budget || change_outcome == change_result::budget_leased) &&
+        !definitive) {
+      planned.needs_reload_ = true;
       return planned;
     }
-    if (what == verdict::unclear) {
+    if (change_outcome == change_result::unclear) {
       planned.needs_turns_ = true;
       return planned;
     }
-    planned.changes_.emplace_back(wanted, what);
-    if (what != verdict::applied) {
+    planned.changes_.emplace_back(pending, change_outcome);
+    if (change_outcome != change_result::applied) {
       continue;
     }
     planned.writes_ = true;
-    planned.transaction_.rank_ = std::min(planned.transaction_.rank_, wanted->rank());
-    if (wanted->record_) {
-      add_turn_rows(program, *wanted, planned.transaction_);
+    planned.transaction_.rank_ = std::min(planned.transaction_.rank_, pending->rank());
+    if (pending->record_) {
+      add_turn_rows(program, *pending, planned.transaction_);
     }
-    if (wanted->kind_ == change::kind::settle) {
-      lease_next(program, *wanted, planned);
+    if (pending->kind_ == change::kind::settle) {
+      lease_next_turn(program, *pending, planned);
     }
   }
-  planned.record_.touched_at_ = store_now();
+  planned.record_.updated_at_ = store_now();
   auto key = row_key{settings_.table_, program.part_, budget_key(program.name_)};
   planned.transaction_.conditions_.push_back({key, program.version_});
   if (program.version_ == version_absent) {
@@ -219,45 +222,51 @@
   return planned;
 }
 
-auto program_store::conclude(entry& program, const batch_plan& planned) -> void {
+auto program_store::complete_batch(entry& program, const batch_plan& planned) -> void {
   program.leased_.insert(program.leased_.end(), planned.leased_.begin(), planned.leased_.end());
-  for (const auto& [wanted, what] : planned.changes_) {
-    if (wanted->record_) {
-      remember(program, wanted->turn_key_, wanted->record_);
+  for (const auto& [pending, change_outcome] : planned.changes_) {
+    if (pending->record_) {
+      cache_turn(program, pending->turn_key_, pending->record_);
     }
-    if (wanted->kind_ == change::kind::draw) {
-      conclude_draw(program, *wanted, what, planned.record_);
+    if (pending->kind_ == change::kind::draw) {
+      complete_draw(program, *pending, change_outcome, planned.record_);
     }
-    if (what == verdict::over_budget) {
-      finish(wanted, error{error_code::budget_exhausted, "the program's budget does not hold this turn"});
-    } else if (what == verdict::budget_leased) {
-      finish(wanted, store_away("the rest of the budget is held for a turn through another daemon"));
-    } else if (what == verdict::expired) {
-      finish(wanted, store_away("the turn was given up before its budget was reserved"));
+    if (change_outcome == change_result::over_budget) {
+      complete_change(pending, error{error_code::budget_exhausted,
+                                     "remaining budget of the program is below the token limit of the turn"});
+    } else if (change_outcome == change_result::budget_leased) {
+      complete_change(
+          pending,
+          unavailable_error("rest of the program's budget is reserved for a turn through another daemon"));
+    } else if (change_outcome == change_result::expired) {
+      complete_change(pending, unavailable_error("turn timed out before its budget was reserved"));
     } else {
-      finish(wanted, success);
+      complete_change(pending, success);
     }
-    auto place = std::find(program.queue_.begin(), program.queue_.end(), wanted);
-    if (place != program.queue_.end()) {
-      program.queue_.erase(place);
+    auto queue_entry = std::find(program.queue_.begin(), program.queue_.end(), pending);
+    if (queue_entry != program.queue_.end()) {
+      program.queue_.erase(queue_entry);
     }
   }
 }
 
-auto program_store::pause_after_conflict(std::string name, int conflicts, milliseconds took) -> task<bool> {
-  auto longest = max_conflict_backoff(conflicts, took);
-  if (longest > 0) {
-    auto pause = std::uniform_int_distribution<milliseconds>{longest / 2, longest}(random_);
-    log_event(
-        log_level::info, "program_contended",
-        {{"program", name}, {"conflicts", std::int64_t{conflicts}}, {"took_ms", took}, {"pause_ms", pause}});
-    co_await pause_for(*loop_, pause);
+auto program_store::back_off_after_conflict(std::string name, int conflicts, milliseconds latency)
+    -> task<bool> {
+  auto max_delay = max_conflict_backoff(conflicts, latency);
+  if (max_delay > 0) {
+    auto delay = std::uniform_int_distribution<milliseconds>{max_delay / 2, max_delay}(random_);
+    log_event(log_level::info, "program_contended",
+              {{"program", name},
+               {"conflicts", std::int64_t{conflicts}},
+               {"took_ms", latency},
+               {"pause_ms", delay}});
+    co_await pause_for(*loop_, delay);
   }
-  co_return longest > 0;
+  co_return max_delay > 0;
 }
 
 auto program_store::write_batch(entry_pointer program) -> task<status> {
-  auto fresh = false;
+  auto is_current = false;
   auto conflicts = 0;
   while (true) {
     if (program->version_ == version_not_read) {
@@ -265,58 +274,59 @@
       if (!ok(loaded)) {
         co_return failure(loaded);
       }
-      fresh = true;
+      is_current = true;
     }
-    auto planned = plan(*program, fresh);
+    auto planned = plan(*program, is_current);
     if (planned.needs_turns_) {
       auto loaded = co_await load(program, true, settings_.call_limit_);
       if (!ok(loaded)) {
         co_return failure(loaded);
       }
-      for (const auto& wanted : program->queue_) {
-        wanted->looked_up_ = true;
+      for (const auto& pending : program->queue_) {
+        pending->turn_checked_ = true;
       }
-      fresh = true;
+      is_current = true;
       continue;
     }
-    if (planned.needs_fresh_) {
-      program->version_ = version_not_read;  // A refusal must rest on what the store says now.
+    if (planned.needs_reload_) {
+      program->version_ = version_not_read;  // A refusal must be based on the current record.
       continue;
     }
     if (!planned.writes_) {
-      conclude(*program, planned);
+      complete_batch(*program, planned);
       co_return success;
     }
-    for (const auto& [wanted, what] : planned.changes_) {
-      wanted->sent_ = true;
-      wanted->looked_up_ = false;  // What was looked up before does not tell of this transaction.
+    for (const auto& [pending, change_outcome] : planned.changes_) {
+      pending->sent_ = true;
+      pending->turn_checked_ = false;  // An earlier check does not cover this transaction.
     }
-    auto asked_at = clock_.now();
+    auto requested_at = clock_.now();
     auto committed = co_await rows_->commit(planned.transaction_, settings_.call_limit_);
     if (!ok(committed)) {
       co_return failure(committed);
     }
     const auto& outcome = value(committed);
-    note_store_clock(outcome.store_now_, asked_at);
-    program->record_at_ = asked_at;
+    record_store_clock(outcome.store_now_, requested_at);
+    program->record_at_ = requested_at;
     if (outcome.committed_) {
       program->record_ = planned.record_;
       program->version_ = outcome.version_;
-      conclude(*program, planned);
+      complete_batch(*program, planned);
       co_return success;
     }
     program->version_ = version_absent;
     program->record_ = program_record{};
-    auto taken = take_rows(*program, outcome.conflicts_);
+    auto taken = apply_rows(*program, outcome.conflicts_);
     if (!ok(taken)) {
       program->version_ = version_not_read;
       co_return failure(taken);
     }
-    fresh = true;
-    auto paused = co_await pause_after_conflict(program->name_, ++conflicts, clock_.now() - asked_at);
-    if (paused) {
+    is_current = true;
+    auto backed_off =
+        co_await back_off_after_conflict(program->name_, ++conflicts, clock_.now() - requested_at);
+    if (backed_off) {
       program->version_ =
-          version_not_read;  // What the conflict told is old by now; a read costs the part nothing.
+          version_not_read;  // The rows of the conflict are stale by now; a read uses no write capacity.
     }
   }
 }
--- a/birchlever/coordination/program_sweeper.cpp
+++ b/birchlever/coordination/program_sweeper.cpp
@@ -8,7 +8,7 @@
 namespace birchlever {
 namespace {
 
-constexpr auto no_limit = milliseconds{3'600'000};  // A listing ends by its pages' own limits.
+constexpr auto no_limit = milliseconds{3'600'000};  // Each page has its own timeout.
 
 }  // namespace
 
@@ -24,33 +24,34 @@
 auto program_sweeper::create(event_loop& loop, std::shared_ptr<row_store_interface> rows,
                              const program_sweeper_settings& settings, owns_function owns,
                              retention_function retention) -> result<std::shared_ptr<program_sweeper>> {
-  if (settings.parts_ < 1 || settings.rows_per_removal_ < 1 || settings.pass_gap_ < 1) {
-    return error{error_code::invalid_setting,
-                 "a sweeper needs parts, rows in a removal and a gap between passes"};
+  if (settings.parts_ < 1 || settings.rows_per_removal_ < 1 || settings.pass_interval_ < 1) {
+    return error{
+        error_code::invalid_setting,
+        "program sweeper requires at least 1 partition, 1 row per removal and a pass interval of 1 ms"};
   }
-  auto made = std::shared_ptr<program_sweeper>{
+  auto created = std::shared_ptr<program_sweeper>{
       new program_sweeper{loop, std::move(rows), settings, std::move(owns), std::move(retention)}};
-  start(loop, "sweep_programs", made->sweep());
-  return made;
+  start(loop, "sweep_programs", created->sweep());
+  return created;
 }
 
 auto program_sweeper::sweep() -> task<> {
   auto self = shared_from_this();
-  co_await pause_for(*loop_, settings_.first_pass_);
+  co_await pause_for(*loop_, settings_.initial_delay_);
   while (!stopped_) {
     for (auto number = 0; number < settings_.parts_ && !stopped_; ++number) {
       auto part = part_name(number);
       if (!owns_(part)) {
-        seen_.erase(part);
+        observed_.erase(part);
         continue;
       }
       auto swept = co_await sweep_part(part);
       if (!ok(swept)) {
-        log_failure(log_level::info, "sweep_put_off", failure(swept));  // The next pass tries again.
+        log_failure(log_level::info, "sweep_deferred", failure(swept));  // The next pass retries.
       }
-      co_await pause_for(*loop_, settings_.part_gap_);
+      co_await pause_for(*loop_, settings_.partition_interval_);
     }
-    co_await pause_for(*loop_, settings_.pass_gap_);
+    co_await pause_for(*loop_, settings_.pass_interval_);
   }
 }
 
@@ -69,22 +70,22 @@
   co_return listed;
 }
 
-auto program_sweeper::overdue(sightings& seen, const index& listed, milliseconds retention) const
-    -> std::vector<std::string> {
+auto program_sweeper::find_expired(observed_changes& observed, const index& listed,
+                                   milliseconds retention) const -> std::vector<std::string> {
   auto now = clock_.now();
-  auto found = std::vector<std::string>{};
-  for (auto next = seen.begin(); next != seen.end();) {
-    next = listed.count(next->first) == 0 ? seen.erase(next) : std::next(next);
+  auto expired = std::vector<std::string>{};
+  for (auto next = observed.begin(); next != observed.end();) {
+    next = listed.count(next->first) == 0 ? observed.erase(next) : std::next(next);
   }
   for (const auto& [name, program] : listed) {
-    auto& known = seen[name];
+    auto& known = observed[name];
     if (program.version_ > known.version_) {
       known = {program.version_, now};
     } else if (now - known.since_ >= retention) {
-      found.push_back(name);
+      expired.push_back(name);
     }
   }
-  return found;
+  return expired;
 }
 
 auto program_sweeper::sweep_part(std::string part) -> task<status> {
@@ -96,7 +97,7 @@
   if (!ok(listed)) {
     co_return failure(listed);
   }
-  auto names = overdue(seen_[part], value(listed), retention);
+  auto names = find_expired(observed_[part], value(listed), retention);
   for (const auto& name : names) {
     auto removed = co_await remove(part, name, value(listed)[name].rows_);
     if (!ok(removed)) {
@@ -122,12 +123,12 @@
       keys.push_back(std::move(row.key_));
     }
   }
-  auto& known = seen_[part][program];
+  auto& known = observed_[part][program];
   if (budget.version_ > known.version_) {
-    known = {budget.version_, clock_.now()};  // It changed without a whole turn.
+    known = {budget.version_, clock_.now()};  // It changed without a completed turn.
     co_return success;
   }
-  // The budget's row goes last: while it stands, its version shows whether the program came back.
+  // The budget row is removed last: while it exists, its version shows whether the program was resumed.
   keys.push_back(budget.key_);
   for (auto at = std::size_t{0}; at < keys.size(); at += settings_.rows_per_removal_) {
     auto until = std::min(keys.size(), at + settings_.rows_per_removal_);
@@ -140,12 +141,12 @@
       co_return failure(committed);
     }
     if (!value(committed).committed_) {
-      known = {};  // It changed meanwhile; the next pass sees it anew.
+      known = {};  // It changed concurrently; the next pass observes it again.
       co_return success;
     }
   }
   ++removed_;
-  seen_[part].erase(program);
+  observed_[part].erase(program);
   log_event(log_level::info, "program_removed",
             {{"program", program}, {"part", part}, {"rows", static_cast<std::int64_t>(keys.size())}});
   co_return success;
--- a/birchlever/coordination/serving_configuration.cpp
+++ b/birchlever/coordination/serving_configuration.cpp
@@ -7,11 +7,11 @@
 namespace birchlever {
 namespace {
 
-/// A host without its port, in lower case.
-auto plain_host(std::string_view host) -> std::string {
+/// Returns the host without its port, in lower case.
+auto normalized_host(std::string_view host) -> std::string {
   auto plain = std::string{host.substr(0, host.rfind(':'))};
-  for (auto& letter : plain) {
-    letter = static_cast<char>(std::tolower(static_cast<unsigned char>(letter)));
+  for (auto& character : plain) {
+    character = static_cast<char>(std::tolower(static_cast<unsigned char>(character)));
   }
   return plain;
 }
@@ -24,15 +24,15 @@
 }
 
 auto serving_configuration::find_route(std::string_view host, std::string_view path) const -> const route* {
-  auto wanted = plain_host(host);
-  auto only_path = path.substr(0, path.find('?'));
+  auto requested_host = normalized_host(host);
+  auto path_without_query = path.substr(0, path.find('?'));
   const auto* best = static_cast<const route*>(nullptr);
-  for (const auto& one : routes_) {
-    auto fits =
-        plain_host(one.host_) == wanted && only_path.substr(0, one.path_prefix_.size()) == one.path_prefix_;
-    auto longer = best == nullptr || one.path_prefix_.size() > best->path_prefix_.size();
-    if (fits && longer) {
-      best = &one;
+  for (const auto& candidate : routes_) {
+    auto matches = normalized_host(candidate.host_) == requested_host &&
+                   path_without_query.substr(0, candidate.path_prefix_.size()) == candidate.path_prefix_;
+    auto longer = best == nullptr || candidate.path_prefix_.size() > best->path_prefix_.size();
+    if (matches && longer) {
+      best = &candidate;
     }
   }
   return best;
@@ -43,23 +43,23 @@
   return found == services_.end() ? nullptr : &found->second;
 }
 
-auto service_for(const route& wanted, std::string_view subject) -> std::string {
+auto service_for(const route& selected, std::string_view affinity_key) -> std::string {
   auto total = std::int64_t{0};
-  for (const auto& one : wanted.services_) {
-    total += one.weight_;
+  for (const auto& entry : selected.services_) {
+    total += entry.weight_;
   }
   if (total <= 0) {
-    return wanted.services_.empty() ? std::string{} : wanted.services_.front().service_;
+    return selected.services_.empty() ? std::string{} : selected.services_.front().service_;
   }
-  auto point =
-      static_cast<std::int64_t>(hash_of(subject, hash_of(wanted.name_)) % static_cast<std::uint64_t>(total));
-  for (const auto& one : wanted.services_) {
-    point -= one.weight_;
+  auto point = static_cast<std::int64_t>(hash_of(affinity_key, hash_of(selected.name_)) %
+                                         static_cast<std::uint64_t>(total));
+  for (const auto& entry : selected.services_) {
+    point -= entry.weight_;
     if (point < 0) {
-      return one.service_;
+      return entry.service_;
     }
   }
-  return wanted.services_.back().service_;
+  return selected.services_.back().service_;
 }
 
 }  // namespace birchlever
--- a/birchlever/coordination/versioned_configuration.cpp
+++ b/birchlever/coordination/versioned_configuration.cpp
@@ -8,7 +8,7 @@
 namespace birchlever {
 namespace {
 
-constexpr auto generations_kept = 256;  // More than any lost answer can lag behind.
+constexpr auto generations_kept = 256;  // Enough to resolve a proposal whose response was lost.
 
 auto generation_key(std::int64_t generation) -> std::string {
   return "generation/" + std::to_string(generation);
@@ -26,40 +26,41 @@
 }  // namespace
 
 auto versioned_configuration::create(std::shared_ptr<table_store_interface> store,
-                                     std::shared_ptr<clock_interface> clock, milliseconds bound)
+                                     std::shared_ptr<clock_interface> clock, milliseconds max_age)
     -> result<std::shared_ptr<versioned_configuration>> {
-  if (bound < 1) {
-    return error{error_code::invalid_setting, "the configuration bound must be at least 1 ms"};
+  if (max_age < 1) {
+    return error{error_code::invalid_setting, "the maximum age of the configuration must be at least 1 ms"};
   }
   return std::shared_ptr<versioned_configuration>{
-      new versioned_configuration{std::move(store), std::move(clock), bound}};
+      new versioned_configuration{std::move(store), std::move(clock), max_age}};
 }
 
 versioned_configuration::versioned_configuration(std::shared_ptr<table_store_interface> store,
-                                                 std::shared_ptr<clock_interface> clock, milliseconds bound)
-    : store_{std::move(store)}, clock_{std::move(clock)}, bound_{bound} {}
+                                                 std::shared_ptr<clock_interface> clock, milliseconds max_age)
+    : store_{std::move(store)}, clock_{std::move(clock)}, max_age_{max_age} {}
 
-auto versioned_configuration::observe(const std::optional<table_row>& row, milliseconds look_began) -> bool {
+auto versioned_configuration::observe(const std::optional<table_row>& row, milliseconds read_started)
+    -> bool {
   auto named = row ? parse_generation(row->value_) : std::nullopt;
   {
     auto lock = std::lock_guard{mutex_};
-    looked_at_ = std::max(looked_at_.value_or(look_began), look_began);
-    auto goes_back = named && !test_switches::instance().mechanism_on("configuration_order");
-    if (!named || (named->generation_ <= current_.generation_ && !goes_back)) {
+    last_read_ = std::max(last_read_.value_or(read_started), read_started);
+    auto may_decrease = named && !test_switches::instance().mechanism_on("configuration_order");
+    if (!named || (named->generation_ <= current_.generation_ && !may_decrease)) {
       return false;
     }
-    heard_ = std::max(heard_, named->generation_);
+    max_seen_ = std::max(max_seen_, named->generation_);
   }
   auto document = store_->read(generation_key(named->generation_));
-  auto whole = ok(document) && value(document) ? parse_generation(value(document)->value_) : std::nullopt;
-  if (!whole) {
-    return false;  // Heard of but not known: not fresh, and the next look tries again.
+  auto complete = ok(document) && value(document) ? parse_generation(value(document)->value_) : std::nullopt;
+  if (!complete) {
+    return false;  // The document is missing: the view is not up to date, and the next poll reads again.
   }
-  take(*whole, row->version_);
+  apply(*complete, row->version_);
   return true;
 }
 
-auto versioned_configuration::take(const configuration_generation& next, std::int64_t row_version) -> void {
+auto versioned_configuration::apply(const configuration_generation& next, std::int64_t row_version) -> void {
   auto lock = std::lock_guard{mutex_};
   auto forward = next.generation_ > current_.generation_;
   if (forward || !test_switches::instance().mechanism_on("configuration_order")) {
@@ -70,8 +71,8 @@
 
 auto versioned_configuration::record_seen(std::int64_t generation) -> bool {
   auto lock = std::lock_guard{mutex_};
-  heard_ = std::max(heard_, generation);
-  return heard_ > current_.generation_;
+  max_seen_ = std::max(max_seen_, generation);
+  return max_seen_ > current_.generation_;
 }
 
 auto versioned_configuration::conflict() -> error {
@@ -81,15 +82,16 @@
   }
   observe(value(row), clock_->now());
   auto winner = current();
-  return error{error_code::configuration_conflict,
-               "generation " + std::to_string(winner.generation_) + " by " + winner.author_ + " was first"};
+  return error{error_code::configuration_conflict, "generation " + std::to_string(winner.generation_) +
+                                                       " by " + winner.author_ + " was committed first"};
 }
 
 auto versioned_configuration::resolve(std::int64_t proposed, const std::string& write_id)
     -> result<std::int64_t> {
   auto row = store_->read(generation_key(proposed));
   if (!ok(row)) {
-    return error{error_code::store_unknown, "the change may be in force; ask for the generation",
+    return error{error_code::store_unknown,
+                 "the configuration change may be in force; read the current generation",
                  ran_state::outcome_unknown, 1000};
   }
   if (value(row) && value(row)->write_id_ == write_id) {
@@ -98,7 +100,8 @@
   if (value(row)) {
     return conflict();
   }
-  return error{error_code::store_unknown, "the change is not visible yet and may still take effect",
+  return error{error_code::store_unknown,
+               "the configuration change is not visible yet and may still take effect",
                ran_state::outcome_unknown, 1000};
 }
 
@@ -107,8 +110,8 @@
   auto base_version = std::int64_t{0};
   {
     auto lock = std::lock_guard{mutex_};
-    if (!looked_at_) {
-      return error{error_code::not_ready, "the configuration was not read yet", ran_state::not_run, 500};
+    if (!last_read_) {
+      return error{error_code::not_ready, "the configuration has not been read yet", ran_state::not_run, 500};
     }
     if (expected != current_.generation_) {
       return error{error_code::configuration_conflict, "generation " + std::to_string(current_.generation_) +
@@ -137,7 +140,7 @@
   if (!ok(outcome)) {
     return failure(outcome);
   }
-  take(next, value(outcome));
+  apply(next, value(outcome));
   return next.generation_;
 }
 
@@ -153,8 +156,8 @@
 
 auto versioned_configuration::is_up_to_date() const -> bool {
   auto lock = std::lock_guard{mutex_};
-  auto in_time = looked_at_ && clock_->now() - *looked_at_ <= bound_;
-  return in_time && (heard_ <= current_.generation_);
+  auto in_time = last_read_ && clock_->now() - *last_read_ <= max_age_;
+  return in_time && (max_seen_ <= current_.generation_);
 }
 
 }  // namespace birchlever
--- a/unit_tests/coordination/budget_draw_test.cpp
+++ b/unit_tests/coordination/budget_draw_test.cpp
@@ -1,5 +1,5 @@
-/// Budgets drawn in advance: daemons that are lost, cut from each other or from the store, and programs that
-/// never stop.
+/// Guards against overspending of budgets that are drawn in advance when daemons are lost or cut off from
+/// their peers or from the store.
 #include <rapidcheck.h>
 #include <catch2/catch.hpp>
 #include <map>
@@ -11,37 +11,37 @@
 namespace birchlever {
 namespace {
 
-constexpr auto most_tokens = std::int64_t{40};
-constexpr auto budget = std::int64_t{120};        // Three turns at their most.
-constexpr auto short_patience = milliseconds{8};  // Many seeds wait for a store that is away.
-constexpr auto long_patience = milliseconds{500};
-constexpr auto most_steps = std::size_t{30};
+constexpr auto turn_limit = std::int64_t{40};
+constexpr auto budget = std::int64_t{120};    // Three turns at their token limit.
+constexpr auto short_wait = milliseconds{8};  // Keeps the random schedules with store outages fast.
+constexpr auto long_wait = milliseconds{500};
+constexpr auto max_steps = std::size_t{30};
 
-class fleet;
+class daemon_group;
 
-/// One daemon's way to the others.
-class fleet_peers final : public budget_peers {
+/// Connects one daemon to the others.
+class group_peers final : public budget_peers {
  public:
-  fleet_peers(fleet& all, std::string asker) : fleet_{&all}, asker_{std::move(asker)} {}
+  group_peers(daemon_group& daemons, std::string asker) : group_{&daemons}, asker_{std::move(asker)} {}
 
   auto request_tokens(std::string program_key, std::vector<std::string> holders, std::int64_t tokens)
       -> task<transferred_tokens> override;
   auto request_allowance(std::string program_key, std::int64_t tokens) -> task<std::int64_t> override;
   auto request_lease(std::string /*program_key*/, std::string /*reservation*/, std::string /*holder*/)
       -> task<bool> override {
-    co_return false;  // Turns of which nothing is kept hold none.
+    co_return false;  // Turns without stored history have no leases.
   }
 
  private:
-  fleet* fleet_;
+  daemon_group* group_;
   std::string asker_;
 };
 
-/// Daemons before one store, by name. A daemon that is lost comes back under a new name, remembering nothing.
-class fleet {
+/// Daemons that share one store, by name. A lost daemon is replaced by one with a new name and no state.
+class daemon_group {
  public:
-  explicit fleet(int daemons, double draw_ahead = 1.0, milliseconds patience = short_patience)
-      : rows_{std::make_shared<memory_row_store>(loop_)}, draw_ahead_{draw_ahead}, patience_{patience} {
+  explicit daemon_group(int daemons, double draw_ahead = 1.0, milliseconds max_wait = short_wait)
+      : rows_{std::make_shared<memory_row_store>(loop_)}, draw_ahead_{draw_ahead}, max_wait_{max_wait} {
     for (auto number = 0; number < daemons; ++number) {
       start_daemon();
     }
@@ -52,54 +52,55 @@
     auto settings = program_store_settings{};
     settings.daemon_ = name;
     settings.draw_ahead_ = draw_ahead_;
-    settings.max_start_wait_ = patience_;
-    settings.call_limit_ = patience_;
+    settings.max_start_wait_ = max_wait_;
+    settings.call_limit_ = max_wait_;
     auto store = value(program_store::create(loop_, rows_, settings));
-    store->set_budget_peers(std::make_shared<fleet_peers>(*this, name));
+    store->set_budget_peers(std::make_shared<group_peers>(*this, name));
     daemons_[name] = std::move(store);
     return name;
   }
 
   auto lose(const std::string& name) -> void { daemons_.erase(name); }
 
-  /// One turn's most, once, while the daemon that may give it is there.
-  auto give_allowance(std::int64_t tokens) -> std::int64_t {
-    auto may_give = !cut_from_peers_ && daemons_.count("vm@0") != 0 && !std::exchange(gave_, true);
+  /// Grants the allowance once, while the daemon that may grant it exists and is reachable.
+  auto grant_allowance(std::int64_t tokens) -> std::int64_t {
+    auto may_give =
+        !cut_from_peers_ && daemons_.count("vm@0") != 0 && !std::exchange(allowance_granted_, true);
     return may_give ? tokens : 0;
   }
 
   auto draw(const std::string& name, const std::string& turn) -> result<std::int64_t> {
-    return run_to_end(
-        loop_, daemons_.at(name)->draw_budget({"p", turn, "", budget, most_tokens, ""}, 5 * patience_));
+    return run_to_end(loop_,
+                      daemons_.at(name)->draw_budget({"p", turn, "", budget, turn_limit, ""}, 5 * max_wait_));
   }
 
-  /// Turns that begin at the same time. Yields how many of them may run.
-  auto begin_together(const std::string& name, int turns) -> int {
-    auto begun = 0;
-    auto open = turns;
-    auto begin = [&](std::string turn) -> task<> {
-      auto order = turn_request{"p", std::move(turn), "", budget, most_tokens, ""};
-      auto drawn = co_await daemons_.at(name)->draw_budget(std::move(order), 5 * patience_);
-      begun += ok(drawn) ? 1 : 0;
-      --open;
+  /// Starts turns concurrently. Returns the number of turns that may run.
+  auto start_concurrently(const std::string& name, int turns) -> int {
+    auto started = 0;
+    auto unfinished = turns;
+    auto start_turn = [&](std::string turn) -> task<> {
+      auto order = turn_request{"p", std::move(turn), "", budget, turn_limit, ""};
+      auto drawn = co_await daemons_.at(name)->draw_budget(std::move(order), 5 * max_wait_);
+      started += ok(drawn) ? 1 : 0;
+      --unfinished;
     };
     for (auto turn = 0; turn < turns; ++turn) {
-      start(loop_, "begin", begin("together-" + std::to_string(turns_++)));
+      start(loop_, "begin", start_turn("together-" + std::to_string(turns_++)));
     }
-    REQUIRE(run_loop_until(loop_, [&] { return open == 0; }));
-    return begun;
+    REQUIRE(run_loop_until(loop_, [&] { return unfinished == 0; }));
+    return started;
   }
 
-  /// A whole turn that hands out so many tokens. Yields what was handed out; nothing when it was refused.
+  /// Runs a complete turn that generates the given tokens. Returns the tokens delivered; empty if refused.
   auto turn(const std::string& name, std::int64_t tokens) -> std::optional<std::int64_t> {
     auto drawn = draw(name, "t" + std::to_string(turns_++));
     if (!ok(drawn)) {
       last_failure_ = failure(drawn).code_;
       return std::nullopt;
     }
-    auto handed = std::min(tokens, value(drawn));
-    daemons_.at(name)->return_tokens("p", value(drawn) - handed);
-    return handed;
+    auto delivered = std::min(tokens, value(drawn));
+    daemons_.at(name)->return_tokens("p", value(drawn) - delivered);
+    return delivered;
   }
 
   [[nodiscard]] auto name_of(std::size_t number) const -> std::string {
@@ -110,177 +111,179 @@
   std::shared_ptr<memory_row_store> rows_;
   std::map<std::string, std::shared_ptr<program_store>> daemons_;
   bool cut_from_peers_ = false;
-  bool lose_handed_ = false;  ///< Answers of peers are lost after they gave tokens away.
+  bool lose_transferred_ = false;  ///< Responses of peers are lost after they transferred tokens.
   error_code last_failure_ = error_code::internal;
 
  private:
-  bool gave_ = false;
+  bool allowance_granted_ = false;
   double draw_ahead_;
-  milliseconds patience_;
+  milliseconds max_wait_;
   int started_ = 0;
   int turns_ = 0;
 };
 
-auto fleet_peers::request_tokens(std::string program_key, std::vector<std::string> holders,
+auto group_peers::request_tokens(std::string program_key, std::vector<std::string> holders,
                                  std::int64_t tokens) -> task<transferred_tokens> {
-  auto handed = transferred_tokens{};
+  auto transferred = transferred_tokens{};
   if (holders.empty()) {
-    for (const auto& [name, daemon] : fleet_->daemons_) {
+    for (const auto& [name, daemon] : group_->daemons_) {
       holders.push_back(name);
     }
   }
   for (const auto& holder : holders) {
-    auto found = fleet_->daemons_.find(holder);
-    if (fleet_->cut_from_peers_ || found == fleet_->daemons_.end()) {
-      handed.unaccounted_ = true;
+    auto found = group_->daemons_.find(holder);
+    if (group_->cut_from_peers_ || found == group_->daemons_.end()) {
+      transferred.unaccounted_ = true;
     } else if (holder != asker_) {
       auto got = found->second->transfer_tokens(program_key, asker_, tokens);
-      handed.tokens_ += fleet_->lose_handed_ ? 0 : got.tokens_;
-      handed.recipients_.insert(handed.recipients_.end(), got.recipients_.begin(), got.recipients_.end());
-      handed.unaccounted_ = handed.unaccounted_ || fleet_->lose_handed_;
+      transferred.tokens_ += group_->lose_transferred_ ? 0 : got.tokens_;
+      transferred.recipients_.insert(transferred.recipients_.end(), got.recipients_.begin(),
+                                     got.recipients_.end());
+      transferred.unaccounted_ = transferred.unaccounted_ || group_->lose_transferred_;
     }
   }
-  co_return handed;
+  co_return transferred;
 }
 
-auto fleet_peers::request_allowance(std::string /*program_key*/, std::int64_t tokens) -> task<std::int64_t> {
-  co_return fleet_->give_allowance(tokens);
+auto group_peers::request_allowance(std::string /*program_key*/, std::int64_t tokens) -> task<std::int64_t> {
+  co_return group_->grant_allowance(tokens);
 }
 
 }  // namespace
 
-TEST_CASE("turns of which nothing is kept cost one commit a program at one daemon") {
-  auto all = fleet{1};
+TEST_CASE("turns without stored history cost one commit per program and daemon") {
+  auto daemons = daemon_group{1};
   for (auto turn = 0; turn < 4; ++turn) {
-    REQUIRE(all.turn(all.name_of(0), 10));
+    REQUIRE(daemons.turn(daemons.name_of(0), 10));
   }
-  CHECK(all.rows_->commits() == 1);
+  CHECK(daemons.rows_->commits() == 1);
 }
 
-TEST_CASE("a turn whose daemon holds a draw begins while the store is away") {
-  auto all = fleet{1};
-  REQUIRE(all.turn(all.name_of(0), 10));
-  all.rows_->faults().down_ = true;
-  CHECK(all.turn(all.name_of(0), 10));
+TEST_CASE("a turn starts during a store outage from tokens drawn earlier") {
+  auto daemons = daemon_group{1};
+  REQUIRE(daemons.turn(daemons.name_of(0), 10));
+  daemons.rows_->faults().down_ = true;
+  CHECK(daemons.turn(daemons.name_of(0), 10));
 }
 
-TEST_CASE("a turn that moves to another daemon in an outage is paid by what that one's peers drew") {
-  auto all = fleet{2};
-  REQUIRE(all.turn(all.name_of(0), 10));
-  all.rows_->faults().down_ = true;
-  CHECK(all.turn(all.name_of(1), 10));
+TEST_CASE("a turn that moves to another daemon during a store outage uses tokens drawn by peers") {
+  auto daemons = daemon_group{2};
+  REQUIRE(daemons.turn(daemons.name_of(0), 10));
+  daemons.rows_->faults().down_ = true;
+  CHECK(daemons.turn(daemons.name_of(1), 10));
 }
 
-TEST_CASE("a program that moves spends its whole budget and is then refused for good") {
-  auto all = fleet{3};
-  auto handed = std::int64_t{0};
+TEST_CASE("a program that moves between daemons can spend its entire budget and is then refused") {
+  auto daemons = daemon_group{3};
+  auto delivered = std::int64_t{0};
   auto next = std::size_t{0};
-  for (auto turn = all.turn(all.name_of(next++), 20); turn; turn = all.turn(all.name_of(next++), 20)) {
-    handed += *turn;
+  for (auto turn = daemons.turn(daemons.name_of(next++), 20); turn;
+       turn = daemons.turn(daemons.name_of(next++), 20)) {
+    delivered += *turn;
   }
-  CHECK(handed > budget - most_tokens);
-  CHECK(handed <= budget);
-  CHECK(all.last_failure_ == error_code::budget_exhausted);
+  CHECK(delivered > budget - turn_limit);
+  CHECK(delivered <= budget);
+  CHECK(daemons.last_failure_ == error_code::budget_exhausted);
 }
 
 TEST_CASE(
-    "a program whose daemon is lost with what it drew goes on, within one turn's most beyond its budget") {
-  auto all = fleet{2};
-  auto handed = std::int64_t{0};
+    "a program whose drawn tokens are lost continues and exceeds its budget by at most one turn's limit") {
+  auto daemons = daemon_group{2};
+  auto delivered = std::int64_t{0};
   for (auto loss = 0; loss < 4; ++loss) {
-    auto name = all.name_of(0);
-    auto spent = all.turn(name, 10);
-    handed += spent.value_or(0);
+    auto name = daemons.name_of(0);
+    auto spent = daemons.turn(name, 10);
+    delivered += spent.value_or(0);
     CHECK((spent.has_value() || loss >= 1));
-    all.lose(name);
-    all.start_daemon();
+    daemons.lose(name);
+    daemons.start_daemon();
   }
-  CHECK(handed <= budget + most_tokens);
+  CHECK(delivered <= budget + turn_limit);
 }
 
-TEST_CASE("a program that begins in an outage of the store gets one turn's most, once") {
-  auto all = fleet{2};
-  all.rows_->faults().down_ = true;
-  auto handed = std::int64_t{0};
+TEST_CASE("a program that starts during a store outage gets a single allowance") {
+  auto daemons = daemon_group{2};
+  daemons.rows_->faults().down_ = true;
+  auto delivered = std::int64_t{0};
   for (auto turn = 0; turn < 8; ++turn) {
-    handed += all.turn(all.name_of(static_cast<std::size_t>(turn)), 12).value_or(0);
+    delivered += daemons.turn(daemons.name_of(static_cast<std::size_t>(turn)), 12).value_or(0);
   }
-  CHECK(handed <= most_tokens);
-  CHECK(handed >= 36);  // Three turns of 12; the rest of 4 is less than a turn may begin with.
+  CHECK(delivered <= turn_limit);
+  CHECK(delivered >= 36);  // Three turns of 12; the remaining 4 are below the minimum for a turn.
 }
 
-TEST_CASE("while the store answers no turn begins with less than its most, also when drawn tokens are lost") {
-  auto all = fleet{2};
-  auto lost = all.name_of(0);
-  REQUIRE(all.turn(lost, 10));
-  all.lose(lost);
-  auto left = all.name_of(0);
-  REQUIRE(all.turn(left, 10));  // Takes the last of the store's tokens; 30 are left here.
-  auto refused = all.draw(left, "short");
+TEST_CASE("no turn starts below its token limit while the store responds, also when drawn tokens are lost") {
+  auto daemons = daemon_group{2};
+  auto lost = daemons.name_of(0);
+  REQUIRE(daemons.turn(lost, 10));
+  daemons.lose(lost);
+  auto left = daemons.name_of(0);
+  REQUIRE(daemons.turn(left, 10));  // Draws the last tokens from the store; 30 remain on this daemon.
+  auto refused = daemons.draw(left, "short");
   REQUIRE_FALSE(ok(refused));
   CHECK(failure(refused).code_ == error_code::budget_exhausted);
 }
 
-TEST_CASE(
-    "a store that is reached and answers nothing for a while makes no turn begin with less than its most") {
-  auto all = fleet{1, 0.0};
-  all.cut_from_peers_ = true;
-  REQUIRE(all.turn("vm@0", most_tokens / 2));  // Leaves half of a turn's most.
-  all.rows_->faults().lose_calls_ = 1000;
-  REQUIRE(all.rows_->reachable());
-  CHECK_FALSE(all.turn("vm@0", most_tokens));
-  CHECK(all.last_failure_ == error_code::store_unavailable);
-  all.rows_->faults().down_ = true;
-  CHECK(all.turn("vm@0", most_tokens) == most_tokens / 2);  // In an outage it is better than nothing.
+TEST_CASE("no turn starts below its token limit while the store is reachable but does not respond") {
+  auto daemons = daemon_group{1, 0.0};
+  daemons.cut_from_peers_ = true;
+  REQUIRE(daemons.turn("vm@0", turn_limit / 2));  // Leaves half of a turn's token limit.
+  daemons.rows_->faults().lose_calls_ = 1000;
+  REQUIRE(daemons.rows_->reachable());
+  CHECK_FALSE(daemons.turn("vm@0", turn_limit));
+  CHECK(daemons.last_failure_ == error_code::store_unavailable);
+  daemons.rows_->faults().down_ = true;
+  CHECK(daemons.turn("vm@0", turn_limit) == turn_limit / 2);  // Allowed in an outage.
 }
 
-TEST_CASE("turns that begin at the same time share one budget") {
-  auto all = fleet{2};
-  CHECK(all.begin_together(all.name_of(0), 5) == 3);
-  CHECK(all.begin_together(all.name_of(1), 2) == 0);
+TEST_CASE("concurrently started turns share one budget") {
+  auto daemons = daemon_group{2};
+  CHECK(daemons.start_concurrently(daemons.name_of(0), 5) == 3);
+  CHECK(daemons.start_concurrently(daemons.name_of(1), 2) == 0);
 }
 
-TEST_CASE("a draw whose answer is lost is made once") {
-  auto all = fleet{1, 1.0, long_patience};
-  all.rows_->faults().lose_answers_ = 1;
-  REQUIRE(all.turn(all.name_of(0), 40));
-  CHECK(all.turn(all.name_of(0), 40));
-  CHECK(all.turn(all.name_of(0), 40));
-  CHECK_FALSE(all.turn(all.name_of(0), 40));
+TEST_CASE("a draw whose response is lost is made once") {
+  auto daemons = daemon_group{1, 1.0, long_wait};
+  daemons.rows_->faults().lose_answers_ = 1;
+  REQUIRE(daemons.turn(daemons.name_of(0), 40));
+  CHECK(daemons.turn(daemons.name_of(0), 40));
+  CHECK(daemons.turn(daemons.name_of(0), 40));
+  CHECK_FALSE(daemons.turn(daemons.name_of(0), 40));
 }
 
-TEST_CASE("no way of losing daemons, peers or the store hands out more than a budget and one turn's most") {
+TEST_CASE(
+    "random losses of daemons, peers and the store never exceed a budget by more than one turn's limit") {
   CHECK(rc::check([](const std::vector<std::uint16_t>& steps) {
-    auto all = fleet{3, steps.size() % 2 == 0 ? 1.0 : 0.0};
-    auto handed = std::int64_t{0};
-    for (auto index = std::size_t{0}; index < std::min(steps.size(), most_steps); ++index) {
+    auto daemons = daemon_group{3, steps.size() % 2 == 0 ? 1.0 : 0.0};
+    auto delivered = std::int64_t{0};
+    for (auto index = std::size_t{0}; index < std::min(steps.size(), max_steps); ++index) {
       auto step = steps[index];
-      auto name = all.name_of(step / 16U);
+      auto name = daemons.name_of(step / 16U);
       switch (step % 16U) {
         case 0:
-          all.lose(name);
-          all.start_daemon();
+          daemons.lose(name);
+          daemons.start_daemon();
           break;
         case 1:
-          all.cut_from_peers_ = !all.cut_from_peers_;
+          daemons.cut_from_peers_ = !daemons.cut_from_peers_;
           break;
         case 2:
-          all.rows_->faults().down_ = !all.rows_->faults().down_;
+          daemons.rows_->faults().down_ = !daemons.rows_->faults().down_;
           break;
         case 3:
-          all.rows_->faults().lose_answers_ = 1;
+          daemons.rows_->faults().lose_answers_ = 1;
           break;
         case 4:
-          all.rows_->faults().late_commits_ = 1;
+          daemons.rows_->faults().late_commits_ = 1;
           break;
         case 5:
-          all.lose_handed_ = !all.lose_handed_;
+          daemons.lose_transferred_ = !daemons.lose_transferred_;
           break;
         default:
-          handed += all.turn(name, step % (most_tokens + 1)).value_or(0);
+          delivered += daemons.turn(name, step % (turn_limit + 1)).value_or(0);
       }
     }
-    RC_ASSERT(handed <= budget + most_tokens);
+    RC_ASSERT(delivered <= budget + turn_limit);
   }));
 }
 
--- a/unit_tests/coordination/exploration_test.cpp
+++ b/unit_tests/coordination/exploration_test.cpp
@@ -1,5 +1,6 @@
-/// Seeded random schedules over the coordination parts as state machines: owners that crash, stop and lag,
-/// a store that fails and loses answers, entries that die with tickets in hand.
+/// Random fault schedules with a fixed seed over lease, journal and ledger. Guards against calls that run
+/// twice, overspent budgets and lost answers when owners crash or pause, the store fails and entries lose
+/// tickets.
 #include <rapidcheck.h>
 #include <catch2/catch.hpp>
 #include <map>
@@ -17,10 +18,10 @@
 constexpr auto large_budget = std::int64_t{400};
 constexpr auto call_tokens = std::int64_t{30};
 constexpr auto schedules = 10000;
-constexpr auto longest = std::size_t{160};  // Steps of one schedule.
-constexpr auto ticket_life = milliseconds{500};
+constexpr auto max_steps_per_schedule = std::size_t{160};  // Steps per schedule.
+constexpr auto ticket_lifetime = milliseconds{500};
 
-/// Fails and loses answers as told.
+/// A store that fails calls or loses responses on request.
 class faulty_store final : public table_store_interface {
  public:
   auto commit(const table_transaction& transaction) -> result<std::int64_t> override {
@@ -58,15 +59,15 @@
   memory_table_store inner_;
 };
 
-/// A ticket in the hands of an entry, and later the report about it.
-struct held_ticket {
+/// A ticket held by an entry, and whether it was executed.
+struct ticket_state {
   call_request order_;
   call_ticket ticket_;
-  milliseconds given_at_ = 0;
+  milliseconds issued_at_ = 0;
   bool executed_ = false;
 };
 
-/// One schedule: everything in one thread, on one hand-driven clock.
+/// Runs one schedule in a single thread with a manual clock.
 class model {
  public:
   explicit model(std::int64_t budget) : budget_{budget} {
@@ -75,7 +76,7 @@
     }
   }
 
-  /// Ordinary work is as likely as all troubles together, so that programs get somewhere.
+  /// Normal operations are more likely than faults, so that programs make progress.
   auto step(int action, int node, int choice) -> void {
     if (action < 4) {
       tick(node);
@@ -96,11 +97,11 @@
     } else if (action < 26) {
       store_->lose_ = choice % 3;
     } else {
-      clock_->advance(2000 + choice % 6000);  // Everyone was frozen for a while.
+      clock_->advance(2000 + choice % 6000);  // All processes were paused.
     }
   }
 
-  /// What must hold after every step and at the end.
+  /// Checks the invariants that hold after every step.
   auto check() -> void {
     for (const auto& [number, runs] : runs_) {
       auto repeatable = number % 2 == 1;
@@ -117,7 +118,7 @@
     RC_ASSERT(ok(found));
     auto ledger = value(program_ledger::create({}, 1000));
     RC_ASSERT(ok(ledger.recover(value(found), 0)));
-    for (const auto& [number, answer] : told_) {
+    for (const auto& [number, answer] : delivered_) {
       const auto* known = ledger.find("notary", "p");
       RC_ASSERT(known != nullptr);
       RC_ASSERT(known->calls_.count(number) == 1);
@@ -138,48 +139,48 @@
     nodes_[node].lease_.emplace(value(lease::create({}, 0, id, id, store_, clock_)));
   }
 
-  auto lose(node_state& one) -> void {
-    one.journal_.reset();
-    one.ledger_.reset();
-    one.lease_->abandon();
+  auto release_state(node_state& state) -> void {
+    state.journal_.reset();
+    state.ledger_.reset();
+    state.lease_->abandon();
   }
 
   auto tick(int node) -> void {
-    auto& one = nodes_[node];
+    auto& state = nodes_[node];
     auto row = store_->read(lease::row_key(0));
     if (ok(row)) {
-      one.lease_->observe(value(row));
+      state.lease_->observe(value(row));
     }
-    if (one.ledger_ && one.lease_->renewal_due()) {
-      (void)one.lease_->renew();
+    if (state.ledger_ && state.lease_->renewal_due()) {
+      (void)state.lease_->renew();
     }
-    if (one.ledger_ && !one.lease_->held()) {
-      lose(one);
+    if (state.ledger_ && !state.lease_->held()) {
+      release_state(state);
     }
-    if (!one.ledger_ && one.lease_->can_acquire(node) && ok(one.lease_->acquire())) {
-      one.journal_.emplace(value(journal::create(settings_, 0, one.lease_->fence_version(), store_)));
-      auto found = one.journal_->recover();
+    if (!state.ledger_ && state.lease_->can_acquire(node) && ok(state.lease_->acquire())) {
+      state.journal_.emplace(value(journal::create(settings_, 0, state.lease_->fence_version(), store_)));
+      auto found = state.journal_->recover();
       if (!ok(found)) {
-        lose(one);
+        release_state(state);
         return;
       }
-      one.ledger_.emplace(value(program_ledger::create({}, one.lease_->epoch())));
-      RC_ASSERT(ok(one.ledger_->recover(value(found), clock_->now())));
+      state.ledger_.emplace(value(program_ledger::create({}, state.lease_->epoch())));
+      RC_ASSERT(ok(state.ledger_->recover(value(found), clock_->now())));
     }
   }
 
-  auto commit(node_state& one, const std::vector<journal_record>& records) -> bool {
+  auto commit(node_state& state, const std::vector<journal_record>& records) -> bool {
     if (records.empty()) {
       return true;
     }
-    auto tries = 0;
-    auto outcome = one.journal_->commit(records, [&] { return ++tries < 3; });
+    auto attempts = 0;
+    auto outcome = state.journal_->commit(records, [&] { return ++attempts < 3; });
     if (!ok(outcome)) {
-      lose(one);
+      release_state(state);
       return false;
     }
     for (const auto& record : records) {
-      one.ledger_->apply(record, clock_->now());
+      state.ledger_->apply(record, clock_->now());
     }
     return true;
   }
@@ -195,29 +196,29 @@
   }
 
   auto open(int node) -> void {
-    auto& one = nodes_[node];
-    if (!one.ledger_ || !one.lease_->held()) {
+    auto& state = nodes_[node];
+    if (!state.ledger_ || !state.lease_->held()) {
       return;
     }
     auto order = next_order();
-    auto decision = one.ledger_->open(order, "default", clock_->now());
+    auto decision = state.ledger_->open(order, "default", clock_->now());
     if (const auto* replay = std::get_if<open_replay>(&decision)) {
-      tell(order.number_, replay->answer_);
+      deliver(order.number_, replay->answer_);
       return;
     }
     if (std::holds_alternative<open_resolve>(decision)) {
-      ++next_call_;  // The caller heard outcome_unknown and goes on.
+      ++next_call_;  // The caller receives outcome_unknown and continues.
       return;
     }
     auto* ready = std::get_if<open_proceed>(&decision);
     if (ready == nullptr) {
       return;
     }
-    auto [ticket, intent] = one.ledger_->dispatch(order, "engine-1", clock_->now());
+    auto [ticket, intent] = state.ledger_->dispatch(order, "engine-1", clock_->now());
     if (intent) {
       ready->records_.push_back(*intent);
     }
-    if (commit(one, ready->records_) && one.lease_->held()) {
+    if (commit(state, ready->records_) && state.lease_->held()) {
       tickets_.push_back({order, ticket, clock_->now()});
     }
   }
@@ -226,22 +227,22 @@
     if (tickets_.empty()) {
       return;
     }
-    auto& one = tickets_[static_cast<std::size_t>(choice) % tickets_.size()];
-    auto usable = !one.executed_ && clock_->now() - one.given_at_ <= ticket_life;
+    auto& held = tickets_[static_cast<std::size_t>(choice) % tickets_.size()];
+    auto usable = !held.executed_ && clock_->now() - held.issued_at_ <= ticket_lifetime;
     if (usable) {
-      one.executed_ = true;
-      ++runs_[one.order_.number_];
+      held.executed_ = true;
+      ++runs_[held.order_.number_];
       spent_ += call_tokens;
     }
   }
 
   auto settle(int node, int choice) -> void {
-    auto& one = nodes_[node];
-    if (tickets_.empty() || !one.ledger_ || !one.lease_->held()) {
+    auto& state = nodes_[node];
+    if (tickets_.empty() || !state.ledger_ || !state.lease_->held()) {
       return;
     }
-    auto place = static_cast<std::size_t>(choice) % tickets_.size();
-    auto held = tickets_[place];
+    auto position = static_cast<std::size_t>(choice) % tickets_.size();
+    auto held = tickets_[position];
     auto report =
         call_settlement{"notary", "p", held.order_.number_, held.ticket_.epoch_, held.ticket_.sequence_};
     report.outcome_ = held.executed_ ? call_outcome::answered : call_outcome::not_run;
@@ -251,18 +252,18 @@
     report.repeatable_ = held.order_.repeatable_;
     report.answer_ = "answer " + std::to_string(held.order_.number_);
     report.upstream_ = "engine-1";
-    auto settled = one.ledger_->settle(report, clock_->now());
-    if (!ok(settled) || !commit(one, value(settled).records_)) {
-      return;  // The entry keeps the report and tries again.
+    auto settled = state.ledger_->settle(report, clock_->now());
+    if (!ok(settled) || !commit(state, value(settled).records_)) {
+      return;  // The entry keeps the report and retries.
     }
-    tickets_.erase(tickets_.begin() + static_cast<std::ptrdiff_t>(place));
+    tickets_.erase(tickets_.begin() + static_cast<std::ptrdiff_t>(position));
     if (held.executed_) {
-      tell(held.order_.number_, report.answer_);
+      deliver(held.order_.number_, report.answer_);
     }
   }
 
-  auto tell(int number, const std::string& answer) -> void {
-    told_[number] = answer;
+  auto deliver(int number, const std::string& answer) -> void {
+    delivered_[number] = answer;
     next_call_ = std::max(next_call_, number + 1);
   }
 
@@ -276,28 +277,28 @@
   std::shared_ptr<faulty_store> store_ = std::make_shared<faulty_store>();
   std::shared_ptr<manual_clock> clock_ = std::make_shared<manual_clock>();
   std::map<int, node_state> nodes_;
-  std::vector<held_ticket> tickets_;
+  std::vector<ticket_state> tickets_;
   std::map<int, int> runs_;
-  std::map<int, std::string> told_;
+  std::map<int, std::string> delivered_;
   std::int64_t budget_ = 0;
   std::int64_t spent_ = 0;
   int next_call_ = 1;
   int identities_ = 0;
 };
 
-/// Runs seeded schedules, shrinking what fails; the text tells the smallest failing one.
+/// Runs schedules with a fixed seed. Returns false if one fails; the text describes the smallest failing one.
 auto explore(int count, std::string& text) -> bool {
-  auto step = rc::gen::resize(  // At smaller sizes inRange would leave out the later actions.
+  auto step = rc::gen::resize(  // Smaller sizes would exclude the later actions from inRange.
       rc::kNominalSize,
       rc::gen::tuple(rc::gen::inRange(0, 27), rc::gen::inRange(0, 3), rc::gen::inRange(0, 10000)));
   auto property = [&] {
-    auto steps = *rc::gen::container<std::vector<std::tuple<int, int, int>>>(longest, step);
-    auto one = model{std::get<2>(steps.front()) % 2 == 0 ? small_budget : large_budget};
-    for (const auto& [what, node, choice] : steps) {
-      one.step(what, node, choice);
-      one.check();
+    auto steps = *rc::gen::container<std::vector<std::tuple<int, int, int>>>(max_steps_per_schedule, step);
+    auto schedule = model{std::get<2>(steps.front()) % 2 == 0 ? small_budget : large_budget};
+    for (const auto& [action, node, choice] : steps) {
+      schedule.step(action, node, choice);
+      schedule.check();
     }
-    one.check_history();
+    schedule.check_history();
   };
   auto parameters = rc::detail::TestParams{};
   parameters.seed = 20261202;
@@ -313,14 +314,14 @@
 
 }  // namespace
 
-TEST_CASE("10,000 random fault schedules keep budget, history and at most once") {
+TEST_CASE("10,000 random fault schedules preserve budget, history and at-most-once execution") {
   auto text = std::string{};
   auto held = explore(schedules, text);
   INFO(text);
   CHECK(held);
 }
 
-TEST_CASE("the same schedules find each missing mechanism") {
+TEST_CASE("the same schedules detect each disabled mechanism") {
   auto& switches = test_switches::instance();
   switches.enable();
   for (const auto* mechanism : {"at_most_once", "budget_hold"}) {
--- a/unit_tests/coordination/journal_test.cpp
+++ b/unit_tests/coordination/journal_test.cpp
@@ -10,7 +10,7 @@
 namespace birchlever {
 namespace {
 
-auto always() -> bool {
+auto always_retry() -> bool {
   return true;
 }
 
@@ -20,18 +20,18 @@
   return {record};
 }
 
-auto fence(memory_table_store& store) -> std::int64_t {
+auto write_fence(memory_table_store& store) -> std::int64_t {
   return value(store.commit({"w", {}, {{lease::fence_key(1), "1"}}, {}}));
 }
 
 }  // namespace
 
-TEST_CASE("what was committed is recovered, across a snapshot and trimming") {
+TEST_CASE("committed records are recovered after a snapshot and trimming") {
   auto store = std::make_shared<memory_table_store>();
-  auto version = fence(*store);
+  auto version = write_fence(*store);
   auto writer = value(journal::create({2, 1, 0, 10}, 1, version, store));
   for (const auto* name : {"a", "b", "c", "d", "e"}) {
-    REQUIRE(ok(writer.commit(opened(name), always)));
+    REQUIRE(ok(writer.commit(opened(name), always_retry)));
   }
   REQUIRE(ok(writer.write_snapshot({3, "state after three", "", "", {}, {}})));
   auto reader = value(journal::create({2, 1, 0, 10}, 1, version, store));
@@ -44,17 +44,17 @@
   CHECK(value(store->scan("journal/", "", 100)).size() == 2);
 }
 
-TEST_CASE("a writer of an old epoch is fenced") {
+TEST_CASE("a writer of an earlier epoch is fenced") {
   auto store = std::make_shared<memory_table_store>();
-  auto old_writer = value(journal::create({}, 1, fence(*store), store));
-  auto new_writer = value(journal::create({}, 1, fence(*store), store));
-  REQUIRE(ok(new_writer.commit(opened("new"), always)));
-  auto refused = old_writer.commit(opened("old"), always);
+  auto old_writer = value(journal::create({}, 1, write_fence(*store), store));
+  auto new_writer = value(journal::create({}, 1, write_fence(*store), store));
+  REQUIRE(ok(new_writer.commit(opened("new"), always_retry)));
+  auto refused = old_writer.commit(opened("old"), always_retry);
   REQUIRE(!ok(refused));
   CHECK(failure(refused).code_ == error_code::lease_lost);
 }
 
-TEST_CASE("a commit whose answer was lost is not written twice") {
+TEST_CASE("a commit whose response was lost is not written twice") {
   auto store = std::make_shared<store_mock>();
   auto writer = value(journal::create({}, 1, 5, store));
   auto write_id = std::string{};
@@ -69,11 +69,11 @@
       .RETURN(error{error_code::store_conflict, "there"});
   REQUIRE_CALL(*store, read("journal/0001/000000000001"))
       .LR_RETURN(std::optional<table_row>{table_row{"", "", 9, write_id}});
-  CHECK(ok(writer.commit(opened("a"), always)));
+  CHECK(ok(writer.commit(opened("a"), always_retry)));
   CHECK(writer.last_sequence() == 1);
 }
 
-TEST_CASE("a commit is given up as unknown, never as failed, when the lease ends") {
+TEST_CASE("a commit abandoned at the end of the lease is reported as unknown, not as failed") {
   auto store = std::make_shared<store_mock>();
   auto writer = value(journal::create({}, 1, 5, store));
   REQUIRE_CALL(*store, commit(trompeloeil::_)).RETURN(error{error_code::store_unavailable, "down"});
@@ -82,7 +82,7 @@
   CHECK(failure(outcome).code_ == error_code::store_unknown);
 }
 
-TEST_CASE("journal rows that are not records are refused with a type") {
+TEST_CASE("malformed journal rows are rejected with malformed_json") {
   for (const auto* text : {"", "{}", "[1]", "[{\"k\":99}]", "[{\"k\":0,\"a\":5}]", "nonsense"}) {
     auto parsed = parse_records(text);
     REQUIRE(!ok(parsed));
@@ -90,7 +90,7 @@
   }
 }
 
-TEST_CASE("records survive being written and read") {
+TEST_CASE("records survive a round trip") {
   auto record = journal_record{record_kind::call_intended, "notary", "p", 3, 1};
   record.digest_ = 0xffffffffffffffffULL;
   record.answer_ = "line\n\"quoted\" \xc3\xa9";
--- a/unit_tests/coordination/lease_test.cpp
+++ b/unit_tests/coordination/lease_test.cpp
@@ -15,74 +15,74 @@
   lease first_ = value(lease::create({}, 3, "vm-1/a", "127.0.0.1:1", store_, clock_));
   lease second_ = value(lease::create({}, 3, "vm-2/b", "127.0.0.2:1", store_, clock_));
 
-  auto look(lease& observer) -> void { observer.observe(value(store_->read(lease::row_key(3)))); }
+  auto observe_row(lease& observer) -> void { observer.observe(value(store_->read(lease::row_key(3)))); }
 };
 
 }  // namespace
 
-TEST_CASE("a lease is taken by one and renewed") {
-  auto both = two_owners{};
-  both.look(both.first_);
-  both.look(both.second_);
-  REQUIRE(ok(both.first_.acquire()));
-  auto lost = both.second_.acquire();
+TEST_CASE("only one process acquires a lease, and it can renew it") {
+  auto owners = two_owners{};
+  owners.observe_row(owners.first_);
+  owners.observe_row(owners.second_);
+  REQUIRE(ok(owners.first_.acquire()));
+  auto lost = owners.second_.acquire();
   REQUIRE(!ok(lost));
   CHECK(failure(lost).code_ == error_code::store_conflict);
-  both.clock_->advance(3000);
-  CHECK(both.first_.renewal_due());
-  CHECK(ok(both.first_.renew()));
-  both.clock_->advance(4900);
-  CHECK(both.first_.held());
-  both.clock_->advance(200);
-  CHECK(!both.first_.held());
+  owners.clock_->advance(3000);
+  CHECK(owners.first_.renewal_due());
+  CHECK(ok(owners.first_.renew()));
+  owners.clock_->advance(4900);
+  CHECK(owners.first_.held());
+  owners.clock_->advance(200);
+  CHECK(!owners.first_.held());
 }
 
-TEST_CASE("a successor waits out the lease and its margin, and the old holder stops before") {
-  auto both = two_owners{};
-  both.look(both.first_);
-  REQUIRE(ok(both.first_.acquire()));
-  both.look(both.second_);
-  both.clock_->advance(6999);
-  CHECK(!both.second_.can_acquire(0));
-  CHECK(!both.first_.held());
-  both.clock_->advance(1);
-  CHECK(both.second_.can_acquire(0));
-  CHECK(!both.second_.can_acquire(1));
-  REQUIRE(ok(both.second_.acquire()));
-  CHECK(both.second_.epoch() == 2);
-  auto renewed = both.first_.renew();
+TEST_CASE("a successor waits for the lease and its margin, and the previous holder stops earlier") {
+  auto owners = two_owners{};
+  owners.observe_row(owners.first_);
+  REQUIRE(ok(owners.first_.acquire()));
+  owners.observe_row(owners.second_);
+  owners.clock_->advance(6999);
+  CHECK(!owners.second_.can_acquire(0));
+  CHECK(!owners.first_.held());
+  owners.clock_->advance(1);
+  CHECK(owners.second_.can_acquire(0));
+  CHECK(!owners.second_.can_acquire(1));
+  REQUIRE(ok(owners.second_.acquire()));
+  CHECK(owners.second_.epoch() == 2);
+  auto renewed = owners.first_.renew();
   REQUIRE(!ok(renewed));
   CHECK(failure(renewed).code_ == error_code::lease_lost);
 }
 
-TEST_CASE("a released lease goes to its successor at once") {
-  auto both = two_owners{};
-  both.look(both.first_);
-  REQUIRE(ok(both.first_.acquire()));
-  REQUIRE(ok(both.first_.release("vm-2")));
-  both.look(both.second_);
-  CHECK(both.second_.can_acquire(5));
-  CHECK(ok(both.second_.acquire()));
-  CHECK(!both.first_.held());
+TEST_CASE("a released lease can be acquired by its successor immediately") {
+  auto owners = two_owners{};
+  owners.observe_row(owners.first_);
+  REQUIRE(ok(owners.first_.acquire()));
+  REQUIRE(ok(owners.first_.release("vm-2")));
+  owners.observe_row(owners.second_);
+  CHECK(owners.second_.can_acquire(5));
+  CHECK(ok(owners.second_.acquire()));
+  CHECK(!owners.first_.held());
 }
 
-TEST_CASE("a lost answer to an acquisition is resolved by its write id") {
+TEST_CASE("a lost response to an acquisition is resolved by its write id") {
   auto store = std::make_shared<store_mock>();
   auto clock = std::make_shared<manual_clock>();
-  auto mine = value(lease::create({}, 0, "vm-1/a", "127.0.0.1:1", store, clock));
-  mine.observe(std::nullopt);
+  auto acquirer = value(lease::create({}, 0, "vm-1/a", "127.0.0.1:1", store, clock));
+  acquirer.observe(std::nullopt);
   auto write_id = std::string{};
   REQUIRE_CALL(*store, commit(trompeloeil::_))
       .LR_SIDE_EFFECT(write_id = _1.write_id_)
       .RETURN(error{error_code::store_unknown, "lost"});
   REQUIRE_CALL(*store, read(lease::row_key(0)))
       .LR_RETURN(std::optional<table_row>{table_row{lease::row_key(0), "", 7, write_id}});
-  CHECK(ok(mine.acquire()));
-  CHECK(mine.held());
-  CHECK(mine.fence_version() == 7);
+  CHECK(ok(acquirer.acquire()));
+  CHECK(acquirer.held());
+  CHECK(acquirer.fence_version() == 7);
 }
 
-TEST_CASE("lease settings that cannot be safe are refused") {
+TEST_CASE("unsafe lease settings are rejected") {
   auto settings = lease_settings{};
   settings.duration_ = settings.margin_ + settings.renew_every_;
   auto made = lease::create(settings, 0, "a", "", nullptr, nullptr);
--- a/unit_tests/coordination/program_ledger_test.cpp
+++ b/unit_tests/coordination/program_ledger_test.cpp
@@ -16,17 +16,17 @@
   return order;
 }
 
-/// The same call asked for anew: each request of a caller has an id of its own.
-auto asked_again(call_request order) -> call_request {
+/// A duplicate of a call: each request of a caller has its own id.
+auto duplicate_of(call_request order) -> call_request {
   order.request_id_ += "-again";
   return order;
 }
 
-/// A ledger whose records become durable at once, and are kept for a successor.
+/// A ledger whose records become durable immediately and are kept for a successor.
 struct one_owner {
   explicit one_owner(std::int64_t epoch = 1) : ledger_{value(program_ledger::create({}, epoch))} {}
 
-  auto keep(const std::vector<journal_record>& records) -> void {
+  auto make_durable(const std::vector<journal_record>& records) -> void {
     for (const auto& record : records) {
       ledger_.apply(record, 0);
       journal_.push_back(record);
@@ -37,9 +37,9 @@
     auto decision = ledger_.open(order, "default", 0);
     REQUIRE(std::holds_alternative<open_proceed>(decision));
     auto [ticket, intent] = ledger_.dispatch(order, "engine-1", 0);
-    keep(std::get<open_proceed>(decision).records_);
+    make_durable(std::get<open_proceed>(decision).records_);
     if (intent) {
-      keep({*intent});
+      make_durable({*intent});
     }
     return ticket;
   }
@@ -60,10 +60,10 @@
     ledger_.mark_accepted("notary", "p", order.number_, ticket.sequence_);
     auto settled = ledger_.settle(report(order, ticket, call_outcome::answered), 0);
     REQUIRE(ok(settled));
-    keep(value(settled).records_);
+    make_durable(value(settled).records_);
   }
 
-  auto succeed(std::int64_t epoch) -> one_owner {
+  auto take_over(std::int64_t epoch) -> one_owner {
     auto next = one_owner{epoch};
     REQUIRE(ok(next.ledger_.recover({"", journal_, 0, 0}, 0)));
     next.journal_ = journal_;
@@ -81,7 +81,7 @@
 
 }  // namespace
 
-TEST_CASE("a call waits until the one before it was accepted") {
+TEST_CASE("a call waits until the previous one is accepted") {
   auto owner = one_owner{};
   auto ticket = owner.send(order_of(1));
   CHECK(std::holds_alternative<open_wait>(owner.ledger_.open(order_of(2), "default", 0)));
@@ -90,7 +90,8 @@
   CHECK(std::holds_alternative<open_wait>(owner.ledger_.open(order_of(4), "default", 0)));
 }
 
-TEST_CASE("a duplicate of an answered call gets the answer, another request under its number is refused") {
+TEST_CASE(
+    "a duplicate of an answered call gets the answer, a different request with its number is rejected") {
   auto owner = one_owner{};
   owner.answer(order_of(1), owner.send(order_of(1)));
   auto again = owner.ledger_.open(order_of(1), "default", 0);
@@ -101,7 +102,7 @@
   CHECK(code_of(owner.ledger_.open(other, "default", 0)) == error_code::call_mismatch);
 }
 
-TEST_CASE("another account cannot go on with a program") {
+TEST_CASE("another account cannot continue a program") {
   auto owner = one_owner{};
   owner.answer(order_of(1), owner.send(order_of(1)));
   auto foreign = order_of(2);
@@ -109,59 +110,59 @@
   CHECK(code_of(owner.ledger_.open(foreign, "default", 0)) == error_code::unknown_program);
 }
 
-TEST_CASE("a call that may not be repeated is resolved, never sent again, after a takeover") {
+TEST_CASE("a non-repeatable call is resolved, not sent again, after a takeover") {
   auto owner = one_owner{};
   owner.answer(order_of(1), owner.send(order_of(1)));
-  auto lost = order_of(2, false);
-  owner.send(lost);
-  auto next = owner.succeed(2);
-  auto decision = next.ledger_.open(asked_again(lost), "default", 0);
+  auto unanswered = order_of(2, false);
+  owner.send(unanswered);
+  auto next = owner.take_over(2);
+  auto decision = next.ledger_.open(duplicate_of(unanswered), "default", 0);
   REQUIRE(std::holds_alternative<open_resolve>(decision));
   CHECK(std::get<open_resolve>(decision).key_ == "notary/p/2");
 }
 
-TEST_CASE("a late answer of an earlier epoch settles its call") {
+TEST_CASE("a late answer from an earlier epoch settles its call") {
   auto owner = one_owner{};
   auto order = order_of(1, false);
   auto ticket = owner.send(order);
-  auto next = owner.succeed(2);
+  auto next = owner.take_over(2);
   next.answer(order, ticket);
   CHECK(std::holds_alternative<open_replay>(next.ledger_.open(order, "default", 0)));
   CHECK(next.ledger_.find("notary", "p")->budget_.settled() == 40);
 }
 
-TEST_CASE("a ticket that never arrived is voided by its request, and only by it") {
+TEST_CASE("a ticket that never arrived is voided only by its own request") {
   auto owner = one_owner{};
   auto order = order_of(1, false);
   owner.send(order);
-  auto next = owner.succeed(2);
+  auto next = owner.take_over(2);
   auto unused = call_settlement{"notary", "p", 1};
   unused.outcome_ = call_outcome::not_run;
-  unused.request_id_ = "someone else's";
+  unused.request_id_ = "another request";
   CHECK(value(next.ledger_.settle(unused, 0)).records_.empty());
   unused.request_id_ = order.request_id_;
-  next.keep(value(next.ledger_.settle(unused, 0)).records_);
+  next.make_durable(value(next.ledger_.settle(unused, 0)).records_);
   CHECK(std::holds_alternative<open_proceed>(next.ledger_.open(order, "default", 0)));
 }
 
-TEST_CASE("a void ticket does not reopen a call whose caller was told that its outcome is unknown") {
+TEST_CASE("a voided ticket does not reopen a call whose outcome was reported as unknown") {
   auto owner = one_owner{};
   owner.answer(order_of(1), owner.send(order_of(1)));
-  auto lost = order_of(2, false);
-  owner.send(lost);
-  auto next = owner.succeed(2);
-  REQUIRE(std::holds_alternative<open_resolve>(next.ledger_.open(asked_again(lost), "default", 0)));
+  auto unanswered = order_of(2, false);
+  owner.send(unanswered);
+  auto next = owner.take_over(2);
+  REQUIRE(std::holds_alternative<open_resolve>(next.ledger_.open(duplicate_of(unanswered), "default", 0)));
   auto held = next.ledger_.find("notary", "p")->budget_.held();
   auto unused = call_settlement{"notary", "p", 2};
   unused.outcome_ = call_outcome::not_run;
-  unused.request_id_ = lost.request_id_;
-  next.keep(value(next.ledger_.settle(unused, 0)).records_);
-  CHECK(next.ledger_.find("notary", "p")->budget_.held() == held - lost.max_tokens_);
+  unused.request_id_ = unanswered.request_id_;
+  next.make_durable(value(next.ledger_.settle(unused, 0)).records_);
+  CHECK(next.ledger_.find("notary", "p")->budget_.held() == held - unanswered.max_tokens_);
   CHECK(std::holds_alternative<open_proceed>(next.ledger_.open(order_of(3), "default", 0)));
-  CHECK(std::holds_alternative<open_resolve>(next.ledger_.open(asked_again(lost), "default", 0)));
+  CHECK(std::holds_alternative<open_resolve>(next.ledger_.open(duplicate_of(unanswered), "default", 0)));
 }
 
-TEST_CASE("a call that was opened but found no upstream can be opened again") {
+TEST_CASE("a call that was opened but not dispatched can be opened again") {
   auto owner = one_owner{};
   owner.answer(order_of(1), owner.send(order_of(1)));
   auto order = order_of(2, false);
@@ -170,75 +171,75 @@
   CHECK(std::holds_alternative<open_proceed>(owner.ledger_.open(order, "default", 0)));
 }
 
-TEST_CASE("an entry that lost its own ticket may ask again for it, another is told the outcome is unknown") {
+TEST_CASE("an entry that lost its ticket may request it again, for another one the outcome is unknown") {
   auto owner = one_owner{};
   auto order = order_of(1, false);
   owner.send(order);
-  auto next = owner.succeed(2);
-  CHECK(std::holds_alternative<open_resolve>(next.ledger_.open(asked_again(order), "default", 0)));
+  auto next = owner.take_over(2);
+  CHECK(std::holds_alternative<open_resolve>(next.ledger_.open(duplicate_of(order), "default", 0)));
   CHECK(std::holds_alternative<open_proceed>(next.ledger_.open(order, "default", 0)));
 }
 
-TEST_CASE("a call that failed before it was accepted is sent again before the next one") {
+TEST_CASE("a call that failed before it was accepted must be sent again before the next one") {
   auto owner = one_owner{};
   auto order = order_of(1);
   auto ticket = owner.send(order);
   auto failed = owner.report(order, ticket, call_outcome::failed);
-  owner.keep(value(owner.ledger_.settle(failed, 0)).records_);
+  owner.make_durable(value(owner.ledger_.settle(failed, 0)).records_);
   CHECK(std::holds_alternative<open_wait>(owner.ledger_.open(order_of(2), "default", 0)));
   auto again = owner.send(order);
   owner.ledger_.mark_accepted("notary", "p", 1, again.sequence_);
   CHECK(std::holds_alternative<open_proceed>(owner.ledger_.open(order_of(2), "default", 0)));
 }
 
-TEST_CASE("an attempt whose entry vanished is given up soon after the caller's deadline, not before") {
+TEST_CASE("an attempt whose entry is lost times out shortly after the caller's deadline, not before") {
   auto owner = one_owner{};
   auto order = order_of(1, false);
   owner.send(order);
   CHECK(owner.ledger_.expire(order.deadline_ + 1000).empty());
-  owner.keep(owner.ledger_.expire(order.deadline_ + 6000));
-  CHECK(std::holds_alternative<open_resolve>(owner.ledger_.open(asked_again(order), "default", 0)));
+  owner.make_durable(owner.ledger_.expire(order.deadline_ + 6000));
+  CHECK(std::holds_alternative<open_resolve>(owner.ledger_.open(duplicate_of(order), "default", 0)));
   CHECK(std::holds_alternative<open_proceed>(owner.ledger_.open(order_of(2), "default", 0)));
 }
 
-TEST_CASE("an attempt that ran out is charged in full, and its call is known after a takeover") {
+TEST_CASE("an attempt that timed out is charged in full, and its call is known after a takeover") {
   auto owner = one_owner{};
   owner.send(order_of(1));
   auto records = owner.ledger_.expire(1000000);
   REQUIRE(records.size() == 1);
-  owner.keep(records);
+  owner.make_durable(records);
   CHECK(owner.ledger_.find("notary", "p")->budget_.settled() == 100);
-  auto next = owner.succeed(2);
+  auto next = owner.take_over(2);
   CHECK(std::holds_alternative<open_proceed>(next.ledger_.open(order_of(1), "default", 0)));
 }
 
-TEST_CASE("a gap that a dead owner left can be filled") {
+TEST_CASE("a gap in call numbers left by a previous owner can be filled") {
   auto owner = one_owner{};
   auto first = owner.send(order_of(1));
   owner.ledger_.mark_accepted("notary", "p", 1, first.sequence_);
   auto second = owner.send(order_of(2));
-  auto next = owner.succeed(2);
+  auto next = owner.take_over(2);
   next.answer(order_of(2), second);
   CHECK(std::holds_alternative<open_proceed>(next.ledger_.open(order_of(1), "default", 0)));
 }
 
-TEST_CASE("a new owner adopts a call under way, so that the next one may follow") {
+TEST_CASE("a new owner adopts a call in progress, so that the next one may start") {
   auto owner = one_owner{};
   auto ticket = owner.send(order_of(1));
-  auto next = owner.succeed(2);
-  auto under_way = owner.report(order_of(1), ticket, call_outcome::answered);
-  CHECK(next.ledger_.adopt(under_way, 0));
-  CHECK(!next.ledger_.adopt(under_way, 0));
+  auto next = owner.take_over(2);
+  auto in_progress = owner.report(order_of(1), ticket, call_outcome::answered);
+  CHECK(next.ledger_.adopt(in_progress, 0));
+  CHECK(!next.ledger_.adopt(in_progress, 0));
   CHECK(std::holds_alternative<open_wait>(next.ledger_.open(order_of(1), "default", 0)));
   CHECK(std::holds_alternative<open_proceed>(next.ledger_.open(order_of(2), "default", 0)));
 }
 
-TEST_CASE("a budget is never passed, and what was reserved stays held after a takeover") {
+TEST_CASE("a budget is never exceeded, and reserved tokens stay held after a takeover") {
   auto owner = one_owner{};
   auto order = order_of(1);
   order.max_tokens_ = 900;
   owner.send(order);
-  auto next = owner.succeed(2);
+  auto next = owner.take_over(2);
   const auto& budget = next.ledger_.find("notary", "p")->budget_;
   CHECK(budget.held() == budget.reserved());
   CHECK(budget.held() >= 900);
@@ -247,7 +248,7 @@
   CHECK(code_of(next.ledger_.open(again, "default", 0)) == error_code::budget_exhausted);
 }
 
-TEST_CASE("a call without a program settles with an owner that never heard of it") {
+TEST_CASE("a call without a program settles with an owner that does not know it") {
   auto owner = one_owner{};
   auto report = call_settlement{"notary", "single-1", 1};
   CHECK(!ok(owner.ledger_.settle(report, 0)));
@@ -257,7 +258,7 @@
   CHECK(value(settled).records_.empty());
 }
 
-TEST_CASE("loops, long programs and ended programs are refused by type") {
+TEST_CASE("looping and ended programs are rejected with their own error codes") {
   auto owner = one_owner{};
   for (auto number = 1; number <= 8; ++number) {
     auto order = order_of(number);
@@ -268,23 +269,23 @@
   auto ninth = order_of(9);
   ninth.digest_ = 7;
   CHECK(code_of(owner.ledger_.open(ninth, "default", 0)) == error_code::program_looping);
-  owner.keep(owner.ledger_.end("notary", "p", "done"));
+  owner.make_durable(owner.ledger_.end("notary", "p", "done"));
   CHECK(code_of(owner.ledger_.open(order_of(9), "default", 0)) == error_code::program_ended);
 }
 
-TEST_CASE("a program without calls ends after the idle limit, and is forgotten later") {
+TEST_CASE("a program without calls ends after the idle limit and is removed after its retention") {
   auto owner = one_owner{};
   owner.answer(order_of(1), owner.send(order_of(1)));
   CHECK(owner.ledger_.expire(599999).empty());
   auto records = owner.ledger_.expire(600000);
   REQUIRE(records.size() == 1);
   CHECK(records.front().reason_ == "idle");
-  owner.keep(records);
+  owner.make_durable(records);
   owner.ledger_.evict_ended(1200001);
   CHECK(owner.ledger_.size() == 0);
 }
 
-TEST_CASE("a snapshot holds what the records hold, with answers moved out") {
+TEST_CASE("a snapshot contains the state of the records, with answers moved to a segment") {
   auto owner = one_owner{};
   owner.answer(order_of(1), owner.send(order_of(1)));
   owner.send(order_of(2, false));
@@ -295,8 +296,8 @@
   auto replay = next.ledger_.open(order_of(1), "default", 0);
   REQUIRE(std::holds_alternative<open_replay>(replay));
   CHECK(std::get<open_replay>(replay).location_.segment_ == snapshot.segment_key_);
-  CHECK(
-      std::holds_alternative<open_resolve>(next.ledger_.open(asked_again(order_of(2, false)), "default", 0)));
+  CHECK(std::holds_alternative<open_resolve>(
+      next.ledger_.open(duplicate_of(order_of(2, false)), "default", 0)));
   owner.ledger_.complete_snapshot(snapshot);
   auto own = owner.ledger_.open(order_of(1), "default", 0);
   CHECK(std::get<open_replay>(own).location_.length_ == 8);
