--- a/unit_tests/coordination/program_store_test.cpp
+++ b/unit_tests/coordination/program_store_test.cpp
@@ -1,4 +1,5 @@
-/// Programs over a store in memory, as two daemons share them: budgets, leased reservations, lost answers.
+/// Guards against overspent budgets and lost turns when two daemons share programs and the store loses
+/// responses.
 #include "birchlever/coordination/program_store.h"
 
 #include <catch2/catch.hpp>
@@ -9,10 +10,10 @@
 namespace birchlever {
 namespace {
 
-constexpr auto most_tokens = std::int64_t{40};
-constexpr auto patience = milliseconds{2000};
+constexpr auto turn_limit = std::int64_t{40};
+constexpr auto max_wait = milliseconds{2000};
 
-/// Two daemons before one store, on one loop.
+/// Two daemons that share one store, on one event loop.
 class two_daemons {
  public:
   explicit two_daemons(const program_store_settings& settings = {})
@@ -23,20 +24,20 @@
   auto begin(program_store& daemon, const std::string& turn, const std::string& previous, std::int64_t budget)
       -> result<turn_grant> {
     return run_to_end(
-        loop_, daemon.begin_turn({"p", turn, previous, budget, most_tokens, "input of " + turn}, patience));
+        loop_, daemon.begin_turn({"p", turn, previous, budget, turn_limit, "input of " + turn}, max_wait));
   }
 
   auto end(program_store& daemon, const std::string& turn, const std::string& previous,
            const turn_grant& grant, std::int64_t budget, std::int64_t tokens) -> status {
-    auto ended = turn_completion{"p",         turn,   grant.reservation_, tokens,
-                                 most_tokens, budget, max_next_duration_, std::nullopt};
+    auto ended = turn_completion{"p",        turn,   grant.reservation_, tokens,
+                                 turn_limit, budget, max_next_duration_, std::nullopt};
     ended.record_ = turn_record{previous, "input of " + turn, "output of " + turn, "engine-1"};
-    return run_to_end(loop_, daemon.end_turn(std::move(ended), patience));
+    return run_to_end(loop_, daemon.end_turn(std::move(ended), max_wait));
   }
 
-  /// A whole turn. Yields the number of commits that it took.
+  /// Runs a complete turn. Returns the number of commits made.
   auto turn(program_store& daemon, const std::string& turn, const std::string& previous, std::int64_t budget,
-            std::int64_t tokens = most_tokens) -> int {
+            std::int64_t tokens = turn_limit) -> int {
     auto before = rows_->commits();
     auto granted = begin(daemon, turn, previous, budget);
     REQUIRE(ok(granted));
@@ -46,7 +47,7 @@
 
   auto run_for(milliseconds duration) -> void { run_loop_for(loop_, duration); }
 
-  milliseconds max_next_duration_ = 0;  ///< As the next turns are told.
+  milliseconds max_next_duration_ = 0;  ///< Maximum duration of the next turns.
   event_loop loop_{1};
   std::shared_ptr<memory_row_store> rows_;
   std::shared_ptr<program_store> here_;
@@ -60,17 +61,17 @@
   return settings;
 }
 
-constexpr auto tight_budget = std::int64_t{120};  // Three turns: one spent, one leased, room for one more.
+constexpr auto tight_budget = std::int64_t{120};  // Three turns: one spent, one leased, one available.
 
-/// Turn t2 runs here under a lease that is over; t3 and t4 begin there, and t4 takes t2's reservation back.
-auto take_back_reservation(two_daemons& fleet) -> turn_grant {
+/// Turn t2 runs at here_ under an expired lease; t3 and t4 start at there_, and t4 removes t2's reservation.
+auto remove_expired_reservation(two_daemons& fleet) -> turn_grant {
   fleet.turn(*fleet.here_, "t1", "", tight_budget);
-  auto held_up = fleet.begin(*fleet.here_, "t2", "t1", tight_budget);
-  REQUIRE(ok(held_up));
+  auto delayed = fleet.begin(*fleet.here_, "t2", "t1", tight_budget);
+  REQUIRE(ok(delayed));
   fleet.run_for(short_leases().reservation_lease_ + short_leases().max_turn_duration_ + 20);
   REQUIRE(ok(fleet.begin(*fleet.there_, "t3", "t1", tight_budget)));
   REQUIRE(ok(fleet.begin(*fleet.there_, "t4", "t1", tight_budget)));
-  return value(held_up);
+  return value(delayed);
 }
 
 auto code_of(const result<turn_grant>& granted) -> error_code {
@@ -80,7 +81,7 @@
 
 }  // namespace
 
-TEST_CASE("a turn that follows at the same daemon costs one commit") {
+TEST_CASE("a subsequent turn at the same daemon costs one commit") {
   auto fleet = two_daemons{};
   CHECK(fleet.turn(*fleet.here_, "t1", "", 1000) == 2);
   CHECK(fleet.turn(*fleet.here_, "t2", "t1", 1000) == 1);
@@ -91,7 +92,7 @@
         "input of t1output of t1input of t2output of t2input of t3output of t3input of t4");
 }
 
-TEST_CASE("a budget is kept to the token across daemons that hold leased reservations") {
+TEST_CASE("a budget is exact across daemons that hold leased reservations") {
   auto fleet = two_daemons{};
   constexpr auto budget = std::int64_t{165};  // Four turns of 40.
   fleet.turn(*fleet.here_, "t1", "", budget);
@@ -103,12 +104,12 @@
 }
 
 TEST_CASE(
-    "what another daemon may still use is no spent budget: the refusal is 503 until the lease is over") {
+    "a budget leased to another daemon causes store_unavailable, not budget_exhausted, until it expires") {
   auto settings = program_store_settings{};
   settings.reservation_lease_ = 60;
   settings.max_turn_duration_ = 60;
   auto fleet = two_daemons{settings};
-  constexpr auto budget = std::int64_t{120};  // One turn spent, one leased here: room for one more.
+  constexpr auto budget = std::int64_t{120};  // One turn spent, one leased to here_, one available.
   fleet.turn(*fleet.here_, "t1", "", budget);
   auto second = fleet.begin(*fleet.there_, "t2", "t1", budget);
   REQUIRE(ok(second));
@@ -118,20 +119,20 @@
   CHECK(code_of(fleet.begin(*fleet.here_, "t4", "t1", budget)) == error_code::budget_exhausted);
 }
 
-TEST_CASE("a reservation of one begun turn is no spent budget, several turns that run exhaust it") {
+TEST_CASE("a budget reserved by one started turn is not exhausted, by several started turns it is") {
   auto fleet = two_daemons{};
-  // Also where the turn was refused, because its reservation's answer was lost, and is not taken back yet.
+  // The single turn may have been refused after the response to its reservation was lost.
   auto first = fleet.begin(*fleet.here_, "t1", "", 60);
   REQUIRE(ok(first));
   CHECK(code_of(fleet.begin(*fleet.there_, "t1-again", "", 60)) == error_code::store_unavailable);
   fleet.here_->cancel_turn("p", value(first).reservation_);
-  fleet.run_for(2 * program_store_settings{}.budget_view_);
+  fleet.run_for(2 * program_store_settings{}.budget_max_age_);
   REQUIRE(ok(fleet.begin(*fleet.there_, "t1-again", "", 60)));
   REQUIRE(ok(fleet.begin(*fleet.here_, "t2", "", 100)));
   CHECK(code_of(fleet.begin(*fleet.there_, "t3", "", 100)) == error_code::budget_exhausted);
 }
 
-TEST_CASE("a leased reservation outlives the longest turn that may have begun under it") {
+TEST_CASE("a leased reservation is kept for the maximum duration of a turn that may have started under it") {
   auto fleet = two_daemons{short_leases()};
   fleet.max_next_duration_ = 60000;
   fleet.turn(*fleet.here_, "t1", "", tight_budget);
@@ -140,27 +141,28 @@
   CHECK(code_of(fleet.begin(*fleet.there_, "t3", "t1", tight_budget)) == error_code::store_unavailable);
 }
 
-TEST_CASE("a turn whose reservation was taken back meanwhile is still charged and kept") {
+TEST_CASE("a turn whose expired reservation was removed is still charged and stored") {
   auto fleet = two_daemons{short_leases()};
-  auto held_up = take_back_reservation(fleet);
-  REQUIRE(ok(fleet.end(*fleet.here_, "t2", "t1", held_up, tight_budget, most_tokens)));
+  auto delayed = remove_expired_reservation(fleet);
+  REQUIRE(ok(fleet.end(*fleet.here_, "t2", "t1", delayed, tight_budget, turn_limit)));
   auto next = fleet.begin(*fleet.there_, "t5", "t2", 1000);
   REQUIRE(ok(next));
   CHECK(value(next).prompt_ == "input of t1output of t1input of t2output of t2input of t5");
   CHECK(code_of(fleet.begin(*fleet.there_, "t6", "t2", 200)) == error_code::budget_exhausted);
 }
 
-TEST_CASE("a turn whose reservation was taken back is charged once, also when answers are lost twice") {
+TEST_CASE(
+    "a turn whose expired reservation was removed is charged once, also if two writes get no response") {
   auto fleet = two_daemons{short_leases()};
-  auto held_up = take_back_reservation(fleet);
-  fleet.rows_->faults().lose_calls_ = 1;    // The first write is not made,
-  fleet.rows_->faults().lose_answers_ = 1;  // a later one is, and both give no answer.
-  REQUIRE(ok(fleet.end(*fleet.here_, "t2", "t1", held_up, tight_budget, most_tokens)));
+  auto delayed = remove_expired_reservation(fleet);
+  fleet.rows_->faults().lose_calls_ = 1;    // The first write is lost.
+  fleet.rows_->faults().lose_answers_ = 1;  // A later write is made, but its response is lost.
+  REQUIRE(ok(fleet.end(*fleet.here_, "t2", "t1", delayed, tight_budget, turn_limit)));
   // Spent: t1 and t2. Reserved: t3 and t4.
-  CHECK(ok(fleet.begin(*fleet.there_, "t5", "t2", 5 * most_tokens)));
+  CHECK(ok(fleet.begin(*fleet.there_, "t5", "t2", 5 * turn_limit)));
 }
 
-TEST_CASE("a spent budget is refused without a call, and one in use without a call for a while") {
+TEST_CASE("an exhausted budget is refused without a read, a reserved one while the record is recent") {
   auto fleet = two_daemons{};
   fleet.turn(*fleet.here_, "t1", "", 60);
   auto reads = fleet.rows_->reads();
@@ -170,7 +172,8 @@
   CHECK(fleet.rows_->reads() == reads);
 }
 
-TEST_CASE("records survive their bytes, those of the first release are read, others are a typed error") {
+TEST_CASE(
+    "program records survive a round trip, rows of the first release are read, others are malformed_json") {
   auto record = program_record{};
   record.spent_ = 7;
   record.reserved_ = {{"t1", {40, 0}}, {"t2+", {30, 1234}}};
@@ -187,7 +190,7 @@
   CHECK(failure(decode_program("")).code_ == error_code::malformed_json);
 }
 
-TEST_CASE("a settling write whose answer was lost is made once, with what it leases") {
+TEST_CASE("a settlement and its lease are written once if responses are lost") {
   for (auto fault = 0; fault < 3; ++fault) {
     auto fleet = two_daemons{};
     fleet.turn(*fleet.here_, "t1", "", 1000, 10);
@@ -199,60 +202,59 @@
     faults.late_commits_ = fault == 2 ? 2 : 0;
     REQUIRE(ok(fleet.end(*fleet.here_, "t2", "t1", value(granted), 1000, 10)));
     fleet.run_for(100);
-    CHECK(ok(fleet.begin(*fleet.there_, "t3", "t2", 20 + 3 * most_tokens)));  // Spent 20; leased at most two.
-    CHECK(code_of(fleet.begin(*fleet.there_, "t4", "t2", 20 + most_tokens - 1)) ==
+    CHECK(ok(fleet.begin(*fleet.there_, "t3", "t2", 20 + 3 * turn_limit)));  // Spent 20; leased at most two.
+    CHECK(code_of(fleet.begin(*fleet.there_, "t4", "t2", 20 + turn_limit - 1)) ==
           error_code::budget_exhausted);
   }
 }
 
-TEST_CASE(
-    "equal programs and turns of two accounts stay apart at once, through any daemon, and after all are "
-    "lost") {
+TEST_CASE("equally named programs and turns of two accounts stay separate, also after all daemons are lost") {
   auto fleet = two_daemons{};
   auto order = [](const std::string& account, const std::string& turn, const std::string& previous) {
-    return turn_request{{account, "p"}, turn, previous, 200, most_tokens, turn + " of " + account + ";"};
+    return turn_request{{account, "p"}, turn, previous, 200, turn_limit, turn + " of " + account + ";"};
   };
   auto finish = [&](program_store& daemon, const std::string& account, const std::string& turn,
                     const turn_grant& grant) {
-    auto ended = turn_completion{{account, "p"}, turn, grant.reservation_, most_tokens, most_tokens, 200, 0,
+    auto ended = turn_completion{{account, "p"}, turn, grant.reservation_, turn_limit, turn_limit, 200, 0,
                                  std::nullopt};
     ended.record_ = turn_record{"", turn + " of " + account + ";", "out of " + account + ";", "engine-1"};
-    REQUIRE(ok(run_to_end(fleet.loop_, daemon.end_turn(std::move(ended), patience))));
+    REQUIRE(ok(run_to_end(fleet.loop_, daemon.end_turn(std::move(ended), max_wait))));
   };
-  auto of_blue = run_to_end(fleet.loop_, fleet.here_->begin_turn(order("blue", "t1", ""), patience));
-  auto of_green = run_to_end(fleet.loop_, fleet.there_->begin_turn(order("green", "t1", ""), patience));
-  REQUIRE(ok(of_blue));
-  REQUIRE(ok(of_green));
-  finish(*fleet.here_, "blue", "t1", value(of_blue));
-  finish(*fleet.there_, "green", "t1", value(of_green));
+  auto blue_grant = run_to_end(fleet.loop_, fleet.here_->begin_turn(order("blue", "t1", ""), max_wait));
+  auto green_grant = run_to_end(fleet.loop_, fleet.there_->begin_turn(order("green", "t1", ""), max_wait));
+  REQUIRE(ok(blue_grant));
+  REQUIRE(ok(green_grant));
+  finish(*fleet.here_, "blue", "t1", value(blue_grant));
+  finish(*fleet.there_, "green", "t1", value(green_grant));
   auto after_loss = value(program_store::create(fleet.loop_, fleet.rows_, {}));
   for (const auto& daemon : {fleet.here_, fleet.there_, after_loss}) {
     for (const auto* account : {"blue", "green"}) {
       auto name = std::string{account};
-      auto next = run_to_end(fleet.loop_, daemon->begin_turn(order(name, "t2", "t1"), patience));
+      auto next = run_to_end(fleet.loop_, daemon->begin_turn(order(name, "t2", "t1"), max_wait));
       REQUIRE(ok(next));
       CHECK(value(next).prompt_ == "t1 of " + name + ";out of " + name + ";t2 of " + name + ";");
       daemon->cancel_turn({name, "p"}, value(next).reservation_);
       fleet.run_for(20);
     }
-    auto of_nobody = run_to_end(fleet.loop_, daemon->begin_turn(order("red", "t2", "t1"), patience));
-    CHECK(code_of(of_nobody) == error_code::unknown_turn);
+    auto other_account_grant =
+        run_to_end(fleet.loop_, daemon->begin_turn(order("red", "t2", "t1"), max_wait));
+    CHECK(code_of(other_account_grant) == error_code::unknown_turn);
   }
 }
 
-TEST_CASE("a budget of one account is not spent by an equal program of another") {
+TEST_CASE("a program does not spend the budget of an equally named program of another account") {
   auto fleet = two_daemons{};
   auto order = [](const std::string& account, const std::string& turn) {
-    return turn_request{{account, "p"}, turn, "", most_tokens, most_tokens, "in"};
+    return turn_request{{account, "p"}, turn, "", turn_limit, turn_limit, "in"};
   };
-  REQUIRE(ok(run_to_end(fleet.loop_, fleet.here_->begin_turn(order("blue", "t1"), patience))));
-  REQUIRE(ok(run_to_end(fleet.loop_, fleet.there_->begin_turn(order("green", "t1"), patience))));
+  REQUIRE(ok(run_to_end(fleet.loop_, fleet.here_->begin_turn(order("blue", "t1"), max_wait))));
+  REQUIRE(ok(run_to_end(fleet.loop_, fleet.there_->begin_turn(order("green", "t1"), max_wait))));
 }
 
-/// The way to one other daemon.
-class one_peer final : public budget_peers {
+/// Connects to one other daemon.
+class single_peer final : public budget_peers {
  public:
-  explicit one_peer(std::shared_ptr<program_store> other) : other_{std::move(other)} {}
+  explicit single_peer(std::shared_ptr<program_store> other) : other_{std::move(other)} {}
 
   auto request_tokens(std::string /*program_key*/, std::vector<std::string> /*holders*/,
                       std::int64_t /*tokens*/) -> task<transferred_tokens> override {
@@ -264,20 +266,20 @@
   }
   auto request_lease(std::string program_key, std::string reservation, std::string holder)
       -> task<bool> override {
-    ++asked_;
+    ++requests_;
     last_holder_ = std::move(holder);
-    auto given = reached_ && other_->transfer_lease(program_key, reservation);
-    co_return given && !answer_lost_;
+    auto given = reachable_ && other_->transfer_lease(program_key, reservation);
+    co_return given && !response_lost_;
   }
 
   std::shared_ptr<program_store> other_;
   std::string last_holder_;
-  int asked_ = 0;
-  bool reached_ = true;
-  bool answer_lost_ = false;
+  int requests_ = 0;
+  bool reachable_ = true;
+  bool response_lost_ = false;
 };
 
-/// Two daemons with names of their own, the second of which reaches the first.
+/// Two daemons with distinct names, of which the second can reach the first.
 struct named_daemons : two_daemons {
   named_daemons() {
     auto settings = program_store_settings{};
@@ -285,63 +287,63 @@
     here_ = value(program_store::create(loop_, rows_, settings));
     settings.daemon_ = "vm-2@1";
     there_ = value(program_store::create(loop_, rows_, settings));
-    there_->set_budget_peers(peer_ = std::make_shared<one_peer>(here_));
+    there_->set_budget_peers(peer_ = std::make_shared<single_peer>(here_));
   }
 
-  std::shared_ptr<one_peer> peer_;
+  std::shared_ptr<single_peer> peer_;
 };
 
-TEST_CASE("a turn that comes through another daemon takes the reservation over: one write a turn") {
+TEST_CASE("a turn through another daemon uses the transferred reservation and costs one commit") {
   auto fleet = named_daemons{};
   fleet.turn(*fleet.here_, "t1", "", 1000);
   CHECK(fleet.turn(*fleet.there_, "t2", "t1", 1000) == 1);
-  CHECK(fleet.peer_->asked_ == 1);
+  CHECK(fleet.peer_->requests_ == 1);
   CHECK(fleet.peer_->last_holder_ == "vm-1@1");
-  // What was given away is not used here as well.
+  // The transferred reservation is no longer used at here_.
   auto before = fleet.rows_->commits();
   REQUIRE(ok(fleet.begin(*fleet.here_, "t3", "t1", 1000)));
   CHECK(fleet.rows_->commits() > before);
 }
 
-TEST_CASE(
-    "a reservation is used once, whoever asks for it, and a lost answer costs its tokens for a while only") {
+TEST_CASE("a leased reservation is used only once") {
   auto fleet = named_daemons{};
-  constexpr auto budget =
-      3 * most_tokens;  // The lease after the first turn takes the last of it but one turn.
+  constexpr auto budget = 3 * turn_limit;  // After the first turn and its lease, one turn is left.
   fleet.turn(*fleet.here_, "t1", "", budget, 10);
   auto kept = fleet.begin(*fleet.here_, "t2", "t1", budget);
   REQUIRE(ok(kept));
-  auto other = fleet.begin(*fleet.there_, "t3", "t1", budget);  // The lease is in use: a write of its own.
+  auto other = fleet.begin(*fleet.there_, "t3", "t1",
+                           budget);  // The lease is in use, so this turn writes its own reservation.
   REQUIRE(ok(other));
   CHECK(value(other).reservation_ != value(kept).reservation_);
   CHECK(code_of(fleet.begin(*fleet.there_, "t4", "t1", budget)) != error_code::unknown_turn);
   CHECK_FALSE(ok(fleet.begin(*fleet.there_, "t4", "t1", budget)));
 }
 
-TEST_CASE("a reservation whose holder is not reached is left to it, one whose answer is lost to nobody") {
+TEST_CASE(
+    "an unreachable holder keeps its reservation; if the transfer response is lost, no daemon uses it") {
   auto fleet = named_daemons{};
   fleet.turn(*fleet.here_, "t1", "", 1000);
-  fleet.peer_->reached_ = false;
+  fleet.peer_->reachable_ = false;
   CHECK(fleet.turn(*fleet.there_, "t2", "t1", 1000) == 2);
   auto before = fleet.rows_->commits();
   REQUIRE(ok(fleet.begin(*fleet.here_, "t3", "t1", 1000)));
-  CHECK(fleet.rows_->commits() == before);  // Its own is still there.
+  CHECK(fleet.rows_->commits() == before);  // Uses its own reservation.
   auto lossy = named_daemons{};
   lossy.turn(*lossy.here_, "t1", "", 1000);
-  lossy.peer_->answer_lost_ = true;
+  lossy.peer_->response_lost_ = true;
   CHECK(lossy.turn(*lossy.there_, "t2", "t1", 1000) == 2);
   before = lossy.rows_->commits();
   REQUIRE(ok(lossy.begin(*lossy.here_, "t3", "t1", 1000)));
   CHECK(lossy.rows_->commits() > before);
 }
 
-TEST_CASE("rows that were written without an account are found without one, and by no account") {
+TEST_CASE("rows written without an account are found only without an account") {
   auto fleet = two_daemons{};
   fleet.turn(*fleet.here_, "t1", "", 1000);
   CHECK(ok(fleet.begin(*fleet.there_, "t2", "t1", 1000)));
-  auto of_account = turn_request{{"blue", "p"}, "t2", "t1", 1000, most_tokens, "in"};
-  auto begun = run_to_end(fleet.loop_, fleet.there_->begin_turn(std::move(of_account), patience));
-  CHECK(code_of(begun) == error_code::unknown_turn);
+  auto foreign_request = turn_request{{"blue", "p"}, "t2", "t1", 1000, turn_limit, "in"};
+  auto granted = run_to_end(fleet.loop_, fleet.there_->begin_turn(std::move(foreign_request), max_wait));
+  CHECK(code_of(granted) == error_code::unknown_turn);
 }
 
 }  // namespace birchlever
--- a/unit_tests/coordination/program_sweeper_test.cpp
+++ b/unit_tests/coordination/program_sweeper_test.cpp
@@ -1,4 +1,4 @@
-/// The sweep of programs that nothing can go on from any more.
+/// Guards against programs that are never removed, and against removal of rows that are still in use.
 #include "birchlever/coordination/program_sweeper.h"
 
 #include <catch2/catch.hpp>
@@ -10,20 +10,20 @@
 namespace birchlever {
 namespace {
 
-constexpr auto kept = milliseconds{120};
+constexpr auto retention = milliseconds{120};
 
 auto fast_settings() -> program_sweeper_settings {
   auto settings = program_sweeper_settings{};
-  settings.first_pass_ = 5;
-  settings.pass_gap_ = 20;
-  settings.part_gap_ = 0;
+  settings.initial_delay_ = 5;
+  settings.pass_interval_ = 20;
+  settings.partition_interval_ = 0;
   settings.rows_per_removal_ = 4;
   return settings;
 }
 
 /// A store with programs, and a sweeper over it.
-struct swept_store {
-  swept_store() : rows_{std::make_shared<memory_row_store>(loop_)} {
+struct store_fixture {
+  store_fixture() : rows_{std::make_shared<memory_row_store>(loop_)} {
     programs_ = value(program_store::create(loop_, rows_, {}));
   }
 
@@ -37,7 +37,8 @@
 
   auto sweep(bool owns = true) -> void {
     sweeper_ = value(program_sweeper::create(
-        loop_, rows_, fast_settings(), [owns](const std::string&) { return owns; }, [] { return kept; }));
+        loop_, rows_, fast_settings(), [owns](const std::string&) { return owns; },
+        [] { return retention; }));
   }
 
   event_loop loop_{1};
@@ -48,48 +49,49 @@
 
 }  // namespace
 
-TEST_CASE("a program that stands unchanged for long enough is removed whole, in several transactions") {
-  auto store = swept_store{};
+TEST_CASE("a program unchanged for the retention period is removed completely, in several transactions") {
+  auto store = store_fixture{};
   store.turn("p1", "t1", "");
   store.turn("p1", "t2", "t1");
   store.turn("p1", "t3", "t2");
   store.sweep();
-  run_loop_for(store.loop_, kept / 2);
+  run_loop_for(store.loop_, retention / 2);
   CHECK(store.sweeper_->removed() == 0);
   REQUIRE(run_loop_until(store.loop_, [&] { return store.rows_->size() == 0; }));
   CHECK(store.sweeper_->removed() == 1);
 }
 
-TEST_CASE("a program that goes on stays, also one whose turns all broke off, until it rests") {
-  auto store = swept_store{};
+TEST_CASE("a program that continues is kept, one without completed turns is removed when it stops") {
+  auto store = store_fixture{};
   store.sweep();
   store.turn("p1", "t1", "");
-  auto broken = run_to_end(store.loop_, store.programs_->begin_turn({"p2", "t9", "", 1000, 10, "in"}, 1000));
-  REQUIRE(ok(broken));
+  auto unfinished =
+      run_to_end(store.loop_, store.programs_->begin_turn({"p2", "t9", "", 1000, 10, "in"}, 1000));
+  REQUIRE(ok(unfinished));
   auto previous = std::string{"t1"};
   for (auto number = 2; number < 10; ++number) {
-    run_loop_for(store.loop_, kept / 3);
+    run_loop_for(store.loop_, retention / 3);
     auto id = "t" + std::to_string(10 * number);
     store.turn("p1", id, previous);
     previous = id;
   }
-  CHECK(store.sweeper_->removed() == 1);  // Only p2, of which nothing more came.
-  auto fresh = value(program_store::create(store.loop_, store.rows_, {}));
-  CHECK(ok(run_to_end(store.loop_, fresh->begin_turn({"p1", "next", previous, 1000, 10, "in"}, 1000))));
+  CHECK(store.sweeper_->removed() == 1);  // Only p2, which had no further turns.
+  auto restarted = value(program_store::create(store.loop_, store.rows_, {}));
+  CHECK(ok(run_to_end(store.loop_, restarted->begin_turn({"p1", "next", previous, 1000, 10, "in"}, 1000))));
 }
 
-TEST_CASE("a part of another daemon is left alone") {
-  auto store = swept_store{};
+TEST_CASE("a partition preferred by another daemon is not swept") {
+  auto store = store_fixture{};
   store.turn("p1", "t1", "");
   store.sweep(false);
-  run_loop_for(store.loop_, 2 * kept);
+  run_loop_for(store.loop_, 2 * retention);
   CHECK(store.sweeper_->removed() == 0);
   CHECK(store.rows_->size() > 0);
 }
 
-TEST_CASE("a removed program leaves those alone whose names begin like its own") {
-  auto store = swept_store{};
-  // Some pairs fall into one part: only then does the removal's range of keys meet the other's rows.
+TEST_CASE("removing a program keeps programs whose names start with its name") {
+  auto store = store_fixture{};
+  // Enough pairs that some share a partition, where the removed key range could include the other's rows.
   for (auto number = 0; number < 200; ++number) {
     auto candidate = "a" + std::to_string(number);
     store.turn(candidate, "t" + candidate, "");
@@ -97,20 +99,20 @@
   }
   store.sweep();
   auto last = std::string{"t"};
-  auto give_up = steady_clock{}.now() + 4000;
-  while (store.sweeper_->removed() < 200 && steady_clock{}.now() < give_up) {
+  auto deadline = steady_clock{}.now() + 4000;
+  while (store.sweeper_->removed() < 200 && steady_clock{}.now() < deadline) {
     for (auto number = 0; number < 200; ++number) {
       auto name = "a" + std::to_string(number) + "-b";
       store.turn(name, "u" + std::to_string(number) + last, "sa" + std::to_string(number));
     }
     last += "t";
-    run_loop_for(store.loop_, kept / 4);
+    run_loop_for(store.loop_, retention / 4);
   }
-  auto fresh = value(program_store::create(store.loop_, store.rows_, {}));
+  auto restarted = value(program_store::create(store.loop_, store.rows_, {}));
   for (auto number = 0; number < 200; ++number) {
     auto name = "a" + std::to_string(number) + "-b";
-    auto goes_on = turn_request{name, "next", "sa" + std::to_string(number), 1000000, 10, "in"};
-    CHECK(ok(run_to_end(store.loop_, fresh->begin_turn(std::move(goes_on), 1000))));
+    auto next_turn = turn_request{name, "next", "sa" + std::to_string(number), 1000000, 10, "in"};
+    CHECK(ok(run_to_end(store.loop_, restarted->begin_turn(std::move(next_turn), 1000))));
   }
 }
 
