--- a/birchlever/controllers/actor_messages.h
+++ b/birchlever/controllers/actor_messages.h
@@ -87,7 +87,7 @@
 using probe_atom = caf::atom_constant<caf::atom("probe")>;
 using sweep_atom = caf::atom_constant<caf::atom("sweep")>;
 using tick_atom = caf::atom_constant<caf::atom("tick")>;
-using look_atom = caf::atom_constant<caf::atom("look")>;
+using poll_atom = caf::atom_constant<caf::atom("poll")>;
 using stop_atom = caf::atom_constant<caf::atom("stop")>;
 
 template <class T>
--- a/birchlever/controllers/control_controller.cpp
+++ b/birchlever/controllers/control_controller.cpp
@@ -36,7 +36,7 @@
         look();
         delayed_send(this, std::chrono::milliseconds{next_gap()}, tick_atom::value);
       },
-      [this](look_atom) { look(); },
+      [this](poll_atom) { look(); },
       [this](hand_over_atom) { hand_over_all(); },
       [this](stop_atom) { quit(); },
   };
--- a/birchlever/controllers/daemon_context.h
+++ b/birchlever/controllers/daemon_context.h
@@ -40,7 +40,7 @@
   std::shared_ptr<http_connection_pool> upstream_pool_;  ///< For short questions.
   std::shared_ptr<http_connection_pool> stream_pool_;    ///< For calls; waits long for answers.
   std::atomic<bool> stopping_{false};
-  std::atomic<std::int64_t> calls_under_way_{0};
+  std::atomic<std::int64_t> calls_in_flight_{0};
 };
 
 }  // namespace birchlever
--- a/birchlever/controllers/owner_gateway.cpp
+++ b/birchlever/controllers/owner_gateway.cpp
@@ -303,7 +303,7 @@
   return reply.text;
 }
 
-auto owner_gateway::tell_generation(const std::string& address) -> void {
+auto owner_gateway::notify_generation(const std::string& address) -> void {
   auto reply = rpc::text_reply{};
   (void)peers_->call(address, short_timeout_ms,
                      [&](auto& client) { client.hear_generation(reply, envelope()); });
@@ -313,7 +313,7 @@
   auto reply = rpc::text_reply{};
   auto called = peers_->call(address, short_timeout_ms,
                              [&](auto& client) { client.hear_generation(reply, envelope()); });
-  return ok(called) && reply.text == able_to_own;
+  return ok(called) && reply.text == can_own_reply;
 }
 
 auto owner_gateway::share_views(const std::string& address, const std::string& views) -> void {
--- a/birchlever/controllers/owner_gateway.h
+++ b/birchlever/controllers/owner_gateway.h
@@ -16,7 +16,7 @@
 class shard_set;
 
 /// The answer of a daemon that may be given shards.
-inline constexpr auto able_to_own = "able";
+inline constexpr auto can_own_reply = "able";
 
 namespace rpc {
 class envelope;
@@ -54,7 +54,7 @@
   auto can_own(const std::string& address) -> bool;
 
   /// Tells a daemon our configuration generation.
-  auto tell_generation(const std::string& address) -> void;
+  auto notify_generation(const std::string& address) -> void;
 
   /// Sends load reports to another owner.
   auto share_views(const std::string& address, const std::string& views) -> void;
--- a/birchlever/controllers/shard_writer.cpp
+++ b/birchlever/controllers/shard_writer.cpp
@@ -93,7 +93,7 @@
 
 auto shard_writer::try_take_over() -> void {
   // A stopping daemon takes a shard only to settle its own last calls, as when the whole fleet stops at once.
-  auto leaving = context_->stopping_ && context_->calls_under_way_ == 0;
+  auto leaving = context_->stopping_ && context_->calls_in_flight_ == 0;
   if (!ready_to_own_ || leaving || !lease_->free_for(rank_)) {
     return;
   }
--- a/birchlever/controllers/upstream_watch.cpp
+++ b/birchlever/controllers/upstream_watch.cpp
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-auto take_shared_views(daemon_context& context, const std::string& views) -> status {
+auto apply_shared_views(daemon_context& context, const std::string& views) -> status {
   try {
     auto body = json::parse(views);
     auto now = context.clock_->now();
--- a/birchlever/controllers/upstream_watch.h
+++ b/birchlever/controllers/upstream_watch.h
@@ -32,6 +32,6 @@
 };
 
 /// Takes in the reports another owner shared. Unreadable ones change nothing.
-auto take_shared_views(daemon_context& context, const std::string& views) -> status;
+auto apply_shared_views(daemon_context& context, const std::string& views) -> status;
 
 }  // namespace birchlever
--- a/birchlever/filters/admission_filter.cpp
+++ b/birchlever/filters/admission_filter.cpp
@@ -64,12 +64,12 @@
   }
   ++mine;
   ++occupancy_->total_;
-  ++context_->calls_under_way_;
+  ++context_->calls_in_flight_;
   context.open_.account_share_ = static_cast<double>(mine) / static_cast<double>(fair);
   auto release = [shared = occupancy_, daemon = context_, account](void*) {
     auto release_lock = std::lock_guard{shared->mutex_};
     --shared->total_;
-    --daemon->calls_under_way_;
+    --daemon->calls_in_flight_;
     if (--shared->by_account_[account] == 0) {
       shared->by_account_.erase(account);
     }
--- a/birchlever/filters/caller_server.cpp
+++ b/birchlever/filters/caller_server.cpp
@@ -195,7 +195,7 @@
     response.set_content(json{{"ready", ready}, {"stopping", context_->stopping_.load()}}.dump(), json_type);
   });
   server_.Get("/metrics", [this](const httplib::Request&, httplib::Response& response) {
-    context_->metrics_->gauge("calls_under_way", static_cast<double>(context_->calls_under_way_.load()));
+    context_->metrics_->gauge("calls_under_way", static_cast<double>(context_->calls_in_flight_.load()));
     response.set_content(context_->metrics_->to_prometheus(), "text/plain; version=0.0.4");
   });
   server_.set_error_handler([](const httplib::Request& request, httplib::Response& response) {
--- a/birchlever/operators/local_rows.cpp
+++ b/birchlever/operators/local_rows.cpp
@@ -39,7 +39,7 @@
           {"fresh", context.configuration_->fresh()},
           {"stopping", context.stopping_.load()},
           {"shards", held.size()},
-          {"calls_under_way", context.calls_under_way_.load()},
+          {"calls_under_way", context.calls_in_flight_.load()},
           {"peak_memory_kb", used.ru_maxrss},
           {"cpu_ms", cpu_ms(used)},
           {"journal_commits", context.metrics_->counter("journal_commits_total")},
--- a/birchlever/operators/operator_console.cpp
+++ b/birchlever/operators/operator_console.cpp
@@ -299,7 +299,7 @@
   auto targets = daemons();
   for_each_bounded(targets.size(), [&](std::size_t index) {
     if (targets[index].id_ != context_->daemon_id_ && !targets[index].leaving_) {
-      gateway_->tell_generation(targets[index].address_.text());
+      gateway_->notify_generation(targets[index].address_.text());
     }
   });
   log_event(log_level::debug, "generation_told", {{"generation", generation}});
--- a/birchlever/rpc/peer_server.cpp
+++ b/birchlever/rpc/peer_server.cpp
@@ -110,7 +110,7 @@
   auto hear_generation(rpc::text_reply& reply, const rpc::envelope& sender) -> void override {
     answer_text(reply, sender, [this] {
       auto able = context_->configuration_->fresh() && !context_->stopping_;
-      return result<std::string>{std::string{able ? able_to_own : ""}};
+      return result<std::string>{std::string{able ? can_own_reply : ""}};
     });
   }
 
@@ -118,7 +118,7 @@
     if (!welcome(sender)) {
       return;
     }
-    auto taken = take_shared_views(*context_, views);
+    auto taken = apply_shared_views(*context_, views);
     if (!ok(taken)) {
       log_failure(log_level::warning, "shared_views_refused", failure(taken));
     }
--- a/birchlever_daemon/daemon.cpp
+++ b/birchlever_daemon/daemon.cpp
@@ -148,7 +148,7 @@
 auto daemon::state::start() -> status {
   start_actors();
   control_ = system_->spawn<control_controller, caf::detached>(context_, shards_, gateway_);
-  auto look_now = [control = control_] { caf::anon_send(control, look_atom::value); };
+  auto look_now = [control = control_] { caf::anon_send(control, poll_atom::value); };
   auto peers = peer_server::create(
       context_, shard_set_,
       [console = console_](const std::string& text) { return console->local_rows(text); }, look_now);
@@ -178,7 +178,7 @@
 
 auto daemon::state::wait_for_calls() -> bool {
   auto give_up_at = context_->clock_->now() + context_->settings_.drain_ms_;
-  while (context_->calls_under_way_ > 0 || gateway_->open_settlements() > 0) {
+  while (context_->calls_in_flight_ > 0 || gateway_->open_settlements() > 0) {
     if (context_->clock_->now() >= give_up_at) {
       return false;
     }
