--- a/birchlever/controllers/table_follower.cpp
+++ b/birchlever/controllers/table_follower.cpp
@@ -45,12 +45,12 @@
 }
 
 auto table_follower::tell_answered(milliseconds began_at) -> void {
-  if (events_.answered_) {
-    events_.answered_(began_at);
+  if (events_.verified_) {
+    events_.verified_(began_at);
   }
 }
 
-auto table_follower::look_now() -> task<bool> {
+auto table_follower::poll_now() -> task<bool> {
   auto self = shared_from_this();
   auto good = false;
   if (!scan_needed_) {
@@ -100,10 +100,10 @@
       co_return false;
     }
     if (!version) {
-      events_.scan_began_();
+      events_.scan_started_();
     }
     version = std::min(version.value_or(page->version_), page->version_);
-    events_.scanned_(page->rows_);
+    events_.page_scanned_(page->rows_);
     begun_ = true;
     scanned += page->rows_.size();
     auto enough = settings_.most_scanned_ > 0 && scanned >= settings_.most_scanned_;
--- a/birchlever/controllers/table_follower.h
+++ b/birchlever/controllers/table_follower.h
@@ -32,16 +32,16 @@
 /// What a follower tells.
 struct table_follower_events {
   /// A scan begins: what it does not tell until its end is gone.
-  std::function<void()> scan_began_;
+  std::function<void()> scan_started_;
   /// Rows of one page of a scan.
-  std::function<void(const std::vector<stored_row>&)> scanned_;
+  std::function<void(const std::vector<stored_row>&)> page_scanned_;
   /// All pages of a scan were told; the version is the oldest that one of them reflects.
   std::function<void(std::int64_t)> scan_ended_;
   /// Rows that changed since, in order.
   std::function<void(const std::vector<stored_row>&)> changes_;
   /// A scan or a look that began at this moment of our clock was answered and told: what is known here was
   /// true then. May be empty.
-  std::function<void(milliseconds)> answered_;
+  std::function<void(milliseconds)> verified_;
 };
 
 /// For coroutines of one loop. What it tells never goes back in time.
@@ -54,7 +54,7 @@
 
   /// Asks once, at once, whether anything has changed, beside a look that the store may hold or lose. True
   /// when it was answered.
-  auto look_now() -> task<bool>;
+  auto poll_now() -> task<bool>;
 
   /// True once a first scan was told.
   [[nodiscard]] auto primed() const -> bool { return primed_; }
--- a/birchlever/controllers/upstream_follower.cpp
+++ b/birchlever/controllers/upstream_follower.cpp
@@ -35,13 +35,13 @@
   settings.most_scanned_ = feed ? most_scanned : 0;
   auto* raw = made.get();  // The follower is made's own and ends with it.
   auto events = table_follower_events{};
-  events.scan_began_ = [raw, feed] {
+  events.scan_started_ = [raw, feed] {
     raw->scanned_.clear();
     if (feed) {
       feed->begin_scan();
     }
   };
-  events.scanned_ = [raw, feed](const auto& listed) {
+  events.page_scanned_ = [raw, feed](const auto& listed) {
     raw->take_page(listed);
     if (feed) {
       feed->take_page(listed);
--- a/birchlever_daemon/gateway_daemon.cpp
+++ b/birchlever_daemon/gateway_daemon.cpp
@@ -183,13 +183,13 @@
   };
   auto scanned = std::make_shared<std::vector<stored_row>>();
   auto events = table_follower_events{};
-  events.scan_began_ = [scanned] { scanned->clear(); };
-  events.scanned_ = [scanned](const auto& rows) {
+  events.scan_started_ = [scanned] { scanned->clear(); };
+  events.page_scanned_ = [scanned](const auto& rows) {
     scanned->insert(scanned->end(), rows.begin(), rows.end());
   };
   events.scan_ended_ = [take_all, scanned](std::int64_t /*version*/) { take_all(*scanned, true); };
   events.changes_ = [take_all](const auto& rows) { take_all(rows, false); };
-  events.answered_ = [this](milliseconds began_at) { context_->freshness_->note_look(began_at); };
+  events.verified_ = [this](milliseconds began_at) { context_->freshness_->note_look(began_at); };
   configuration_follower_ = table_follower::create(loop_, store_, settings, std::move(events));
   upstream_follower_ = upstream_follower::create(
       loop_, store_, platform::names::upstream_table, context_->upstreams_, platform::decode_upstream,
@@ -208,7 +208,7 @@
 
 auto gateway_daemon::renew_configuration() -> task<> {
   while (context_->freshness_->wanted()) {
-    auto answered = co_await configuration_follower_->look_now();
+    auto answered = co_await configuration_follower_->poll_now();
     if (!answered) {
       co_await pause_for(loop_, renewal_gap);
     }
--- a/unit_tests/controllers/freshness_test.cpp
+++ b/unit_tests/controllers/freshness_test.cpp
@@ -63,12 +63,12 @@
   fixture.rows_->faults().down_ = true;
   run_loop_for(fixture.loop_, 100);
   auto before = fixture.answers_;
-  CHECK(!run_to_end(fixture.loop_, fixture.follower_->look_now()));
+  CHECK(!run_to_end(fixture.loop_, fixture.follower_->poll_now()));
   run_loop_for(fixture.loop_, 100);
   CHECK(fixture.answers_ == before);
   fixture.rows_->faults().down_ = false;
   auto asked_at = fixture.clock_.now();
-  CHECK(run_to_end(fixture.loop_, fixture.follower_->look_now()));
+  CHECK(run_to_end(fixture.loop_, fixture.follower_->poll_now()));
   CHECK(fixture.sure_at_ >= asked_at);
 }
 
@@ -76,7 +76,7 @@
   auto fixture = noting_follower{long_wait};
   run_loop_for(fixture.loop_, 150);
   auto asked_at = fixture.clock_.now();
-  CHECK(run_to_end(fixture.loop_, fixture.follower_->look_now()));
+  CHECK(run_to_end(fixture.loop_, fixture.follower_->poll_now()));
   CHECK(fixture.sure_at_ >= asked_at);
   CHECK(fixture.clock_.now() - asked_at < long_wait / 2);
 }
@@ -86,7 +86,7 @@
   run_loop_for(fixture.loop_, 50);
   fixture.rows_->faults().history_gone_ = true;
   fixture.rows_->put({"op", "", "config"}, "missed");
-  CHECK(run_to_end(fixture.loop_, fixture.follower_->look_now()));
+  CHECK(run_to_end(fixture.loop_, fixture.follower_->poll_now()));
   CHECK(fixture.told_when_sure_ == "missed");
 }
 
