--- a/birchlever/controllers/central_grants.cpp
+++ b/birchlever/controllers/central_grants.cpp
@@ -41,7 +41,7 @@
       socket_{loop},
       clock_{std::make_shared<steady_clock>()},
       order_{grantor_order_settings{settings_.vm_}},
-      desk_{settings_.desk_},
+      grantor_{settings_.grantor_},
       fallback_{settings_.fallback_,
                 [this] {
                   return members_known_ ? static_cast<std::int64_t>(order_.size()) : settings_.unknown_fleet_;
@@ -122,7 +122,7 @@
       waiting->second->answered_.notify();
     }
   } else if (const auto* debit = std::get_if<allotment_debit>(&message)) {
-    desk_.debit(debit->account_, debit->tokens_);
+    grantor_.debit(debit->account_, debit->tokens_);
   }
 }
 
@@ -149,7 +149,7 @@
     return {ask.number_, false, {}};
   }
   auto first = order_.first(ask.account_) == settings_.vm_;
-  auto verdict = desk_.claim(claim_of(ask, *limit), share_(), first, ask.granted_alone_, clock_->now());
+  auto verdict = grantor_.claim(claim_of(ask, *limit), share_(), first, ask.granted_alone_, clock_->now());
   if (verdict.granted_ && !first) {
     debits_[ask.account_] += 1;
   }
@@ -159,7 +159,7 @@
 auto central_grants::send_debits() -> task<> {
   auto self = shared_from_this();
   while (true) {
-    co_await pause_for(*loop_, settings_.debit_gap_);
+    co_await pause_for(*loop_, settings_.debit_interval_);
     forget_answers();
     for (const auto& [account, tokens] : std::exchange(debits_, {})) {
       auto first = members_.find(order_.first(account));
@@ -177,7 +177,7 @@
   pending_[ask.number_] = waiting;
   for (auto tries = 0; tries < settings_.tries_ && !waiting->answer_; ++tries) {
     send(ask, address);
-    co_await waiting->answered_.wait_for(settings_.answer_limit_);
+    co_await waiting->answered_.wait_for(settings_.reply_timeout_);
   }
   pending_.erase(ask.number_);
   if (waiting->answer_) {
--- a/birchlever/controllers/central_grants.h
+++ b/birchlever/controllers/central_grants.h
@@ -25,11 +25,11 @@
 struct central_grants_settings {
   std::string vm_;
   std::string address_;  ///< "ip:port" of the datagrams; the port is the same on all daemons.
-  grantor_desk_settings desk_;
-  milliseconds answer_limit_ =
-      60;                         ///< For one ask. A way there and back takes 2 ms; small VMs pause for tens.
-  int tries_ = 2;                 ///< Asks of one grantor: a datagram is lost now and then.
-  milliseconds debit_gap_ = 200;  ///< Between two messages of a stand-in to the one it stands in for.
+  grantor_desk_settings grantor_;
+  milliseconds reply_timeout_ =
+      60;          ///< For one ask. A way there and back takes 2 ms; small VMs pause for tens.
+  int tries_ = 2;  ///< Asks of one grantor: a datagram is lost now and then.
+  milliseconds debit_interval_ = 200;  ///< Between two messages of a stand-in to the one it stands in for.
   milliseconds remembered_ =
       1000;  ///< For which an ask's answer is kept, so that a repeated one costs nothing.
   equal_shares_settings fallback_{5000,
@@ -62,10 +62,10 @@
   auto set_members(member_map members) -> void;
 
   /// A daemon was heard of, so it is asked again.
-  auto note_heard(const std::string& vm) -> void { order_.note_heard(vm); }
+  auto record_seen(const std::string& vm) -> void { order_.note_heard(vm); }
 
   /// Requests that equal shares had to judge since no grantor answered.
-  [[nodiscard]] auto unanswered() const -> std::int64_t { return unanswered_; }
+  [[nodiscard]] auto fallback_decisions() const -> std::int64_t { return unanswered_; }
 
  private:
   struct pending_ask;
@@ -93,7 +93,7 @@
   asio::ip::udp::socket socket_;
   std::shared_ptr<steady_clock> clock_;
   grantor_order order_;
-  grantor_desk desk_;
+  grantor_desk grantor_;
   equal_shares fallback_;
   member_map members_;
   bool members_known_ = false;
--- a/birchlever/controllers/peer_exchange.cpp
+++ b/birchlever/controllers/peer_exchange.cpp
@@ -26,7 +26,7 @@
       describe_{std::move(describe)},
       socket_{loop},
       random_{static_cast<std::uint32_t>(hash_of(settings_.vm_))},
-      views_{settings_.vm_, settings_.fresh_, std::make_shared<steady_clock>()} {}
+      views_{settings_.vm_, settings_.max_state_age_, std::make_shared<steady_clock>()} {}
 
 auto peer_exchange::create(event_loop& loop, std::shared_ptr<row_store_interface> rows,
                            const peer_exchange_settings& settings, describe_function describe)
@@ -74,12 +74,12 @@
 auto peer_exchange::send_all() -> task<> {
   auto self = shared_from_this();
   while (true) {
-    co_await pause_for(*loop_, settings_.send_gap_);
-    send(describe_(), settings_.most_receivers_);
+    co_await pause_for(*loop_, settings_.send_interval_);
+    send(describe_(), settings_.max_receivers_);
   }
 }
 
-auto peer_exchange::tell(const upstream_news& news) -> void {
+auto peer_exchange::publish(const upstream_news& news) -> void {
   untold_.push_back(news);
   if (untold_.size() == 1) {
     start(*loop_, "peer_news", send_news());
@@ -89,12 +89,12 @@
 auto peer_exchange::send_news() -> task<> {
   auto self = shared_from_this();
   auto since_last = clock_.now() - told_at_;
-  co_await pause_for(*loop_, std::max(settings_.news_gap_, settings_.least_news_gap_ - since_last));
+  co_await pause_for(*loop_, std::max(settings_.report_delay_, settings_.min_report_interval_ - since_last));
   told_at_ = clock_.now();
   auto state = peer_state{};  // News only: many get it, and what a daemon runs is told in regular messages.
   state.vm_ = settings_.vm_;
   state.news_ = std::exchange(untold_, {});
-  send(state, settings_.most_told_);
+  send(state, settings_.max_report_receivers_);
 }
 
 auto peer_exchange::receive_all() -> task<> {
@@ -129,7 +129,7 @@
 auto peer_exchange::take(peer_state said) -> void {
   if (said.news_.empty()) {
     auto vm = said.vm_;
-    views_.hear(std::move(said));
+    views_.record_state(std::move(said));
     if (on_heard_) {
       on_heard_(vm);
     }
--- a/birchlever/controllers/peer_exchange.h
+++ b/birchlever/controllers/peer_exchange.h
@@ -20,20 +20,22 @@
 /// How views are exchanged.
 struct peer_exchange_settings {
   std::string vm_;
-  std::string address_;            ///< "ip:port" of the datagrams, alike in form on all daemons.
-  std::string table_ = "daemons";  ///< Where daemons find each other.
-  milliseconds send_gap_ = 200;    ///< A burst fills an upstream within some hundred ms.
-  milliseconds news_gap_ = 20;  ///< News of so long go out together, so that a bad second costs few messages.
-  milliseconds least_news_gap_ = 200;  ///< Between two sendings of news: 350 datagrams take some ms of a
-                                       ///< small VM's processor.
-  int most_told_ = 350;      ///< Peers that get news, drawn anew each time: all of the largest fleet, so that
-                             ///< three daemons that met a dead upstream are heard by all. 8 failures/s at one
-                             ///< upstream cost each daemon 8 datagrams/s of about 100 bytes.
-  int most_receivers_ = 16;  ///< A message each gap to so many, drawn anew: bounds the cost at any size.
-  milliseconds fresh_ = 1500;       ///< Older views count no more.
-  milliseconds list_gap_ = 30000;   ///< Between two readings of the list of daemons; those that are heard
-                                    ///< before are known at once. Six calls a reading at 295 daemons.
-  milliseconds call_limit_ = 1500;  ///< For one call of the store.
+  std::string address_;               ///< "ip:port" of the datagrams, alike in form on all daemons.
+  std::string table_ = "daemons";     ///< Where daemons find each other.
+  milliseconds send_interval_ = 200;  ///< A burst fills an upstream within some hundred ms.
+  milliseconds report_delay_ =
+      20;  ///< News of so long go out together, so that a bad second costs few messages.
+  milliseconds min_report_interval_ = 200;  ///< Between two sendings of news: 350 datagrams take some ms of a
+                                            ///< small VM's processor.
+  int max_report_receivers_ =
+      350;                  ///< Peers that get news, drawn anew each time: all of the largest fleet, so that
+                            ///< three daemons that met a dead upstream are heard by all. 8 failures/s at one
+                            ///< upstream cost each daemon 8 datagrams/s of about 100 bytes.
+  int max_receivers_ = 16;  ///< A message each gap to so many, drawn anew: bounds the cost at any size.
+  milliseconds max_state_age_ = 1500;  ///< Older views count no more.
+  milliseconds list_gap_ = 30000;      ///< Between two readings of the list of daemons; those that are heard
+                                       ///< before are known at once. Six calls a reading at 295 daemons.
+  milliseconds call_limit_ = 1500;     ///< For one call of the store.
   milliseconds forget_ = 600000;  ///< A peer that is listed and not heard for so long is taken from the list;
                                   ///< one that lives finds itself missing and lists itself again.
 };
@@ -56,7 +58,7 @@
 
   /// Called with a peer's VM and what it learned of an upstream.
   using news_function = std::function<void(const std::string&, const upstream_news&)>;
-  auto on_news(news_function callback) -> void { on_news_ = std::move(callback); }
+  auto on_health_report(news_function callback) -> void { on_news_ = std::move(callback); }
 
   /// Called with all other listed daemons, by VM, each time that the list was read.
   using list_function = std::function<void(const std::map<std::string, asio::ip::udp::endpoint>&)>;
@@ -64,10 +66,10 @@
 
   /// Called with a peer's VM when a regular message of it came.
   using heard_function = std::function<void(const std::string&)>;
-  auto on_heard(heard_function callback) -> void { on_heard_ = std::move(callback); }
+  auto on_peer_seen(heard_function callback) -> void { on_heard_ = std::move(callback); }
 
   /// Tells peers soon what this daemon learned.
-  auto tell(const upstream_news& news) -> void;
+  auto publish(const upstream_news& news) -> void;
 
   /// Peers that the store lists.
   [[nodiscard]] auto listed_peers() const -> std::size_t { return receivers_.size(); }
--- a/birchlever/controllers/peer_feed.cpp
+++ b/birchlever/controllers/peer_feed.cpp
@@ -92,7 +92,7 @@
   return {cores, rendezvous_weight(vm, subject)};
 }
 
-auto peer_feed::told_followers() const -> std::vector<told_follower> {
+auto peer_feed::reported_followers() const -> std::vector<told_follower> {
   auto known = views_->followers_within(settings_.remembered_);
   auto first = [this](const told_follower& left, const told_follower& right) {
     return rank_of(left.vm_, left.cores_) > rank_of(right.vm_, right.cores_);
--- a/birchlever/controllers/peer_feed.h
+++ b/birchlever/controllers/peer_feed.h
@@ -68,7 +68,7 @@
   auto end_scan(std::int64_t version) -> void;
 
   /// The followers that a message of this daemon names.
-  [[nodiscard]] auto told_followers() const -> std::vector<told_follower>;
+  [[nodiscard]] auto reported_followers() const -> std::vector<told_follower>;
 
   /// True when this daemon looks at the store itself, goes on doing so, and may be asked by others.
   [[nodiscard]] auto follows() const -> bool;
--- a/birchlever/controllers/peer_state.cpp
+++ b/birchlever/controllers/peer_state.cpp
@@ -23,7 +23,7 @@
 
 auto encode(const peer_state& state) -> std::string {
   auto bytes = std::string{};
-  auto silence = state.store_silence_ ? json(*state.store_silence_) : json(nullptr);
+  auto silence = state.store_response_age_ ? json(*state.store_response_age_) : json(nullptr);
   auto news = json::array();
   for (const auto& one : state.news_) {
     news.push_back(json::array({one.id_, one.failed_, one.born_}));
@@ -53,7 +53,7 @@
     auto state = peer_state{};
     message.at(0).get_to(state.vm_);
     if (!message.at(1).is_null()) {
-      state.store_silence_ = message.at(1).get<milliseconds>();
+      state.store_response_age_ = message.at(1).get<milliseconds>();
     }
     message.at(2).get_to(state.configuration_);
     message.at(3).get_to(state.control_address_);
--- a/birchlever/controllers/peer_state.h
+++ b/birchlever/controllers/peer_state.h
@@ -25,7 +25,7 @@
 struct peer_state {
   std::string vm_;
   std::optional<milliseconds>
-      store_silence_;                   ///< ms since the store last answered it; none when it never did.
+      store_response_age_;              ///< ms since the store last answered it; none when it never did.
   std::int64_t configuration_ = 0;      ///< Version in force there.
   std::string control_address_;         ///< Where it relays calls to the store, "ip:port".
   std::map<std::string, int> running_;  ///< Requests at each upstream.
--- a/birchlever/controllers/peer_views.cpp
+++ b/birchlever/controllers/peer_views.cpp
@@ -6,7 +6,7 @@
 
 namespace birchlever {
 
-auto peer_views::hear(peer_state said) -> void {
+auto peer_views::record_state(peer_state said) -> void {
   auto vm = said.vm_;
   for (const auto& one : said.followers_) {
     note_follower(one);
@@ -41,16 +41,17 @@
   });
 }
 
-auto peer_views::answered_since(milliseconds moment, const std::string& region) const -> const peer_state* {
+auto peer_views::find_peer_with_store_contact_since(milliseconds moment, const std::string& region) const
+    -> const peer_state* {
   auto now = clock_->now();
   auto latest = moment;
   const auto* best = static_cast<const peer_state*>(nullptr);
   for (const auto& [vm, heard] : heard_) {
     auto elsewhere = !region.empty() && heard.state_.region_ != region;
-    if (now - heard.at_ >= fresh_ || !heard.state_.store_silence_ || elsewhere) {
+    if (now - heard.at_ >= fresh_ || !heard.state_.store_response_age_ || elsewhere) {
       continue;
     }
-    auto answered_at = heard.at_ - *heard.state_.store_silence_;
+    auto answered_at = heard.at_ - *heard.state_.store_response_age_;
     if (answered_at > latest) {
       latest = answered_at;
       best = &heard.state_;
@@ -107,14 +108,14 @@
   return lately;
 }
 
-auto peer_views::heard_within(milliseconds span) const -> std::size_t {
+auto peer_views::seen_within(milliseconds span) const -> std::size_t {
   auto now = clock_->now();
   return static_cast<std::size_t>(std::count_if(
       heard_.begin(), heard_.end(), [&](const auto& entry) { return now - entry.second.at_ < span; }));
 }
 
-auto peer_views::fresh_peers() const -> std::size_t {
-  return heard_within(fresh_);
+auto peer_views::recent_peers() const -> std::size_t {
+  return seen_within(fresh_);
 }
 
 }  // namespace birchlever
--- a/birchlever/controllers/peer_views.h
+++ b/birchlever/controllers/peer_views.h
@@ -20,7 +20,7 @@
       : vm_{std::move(vm)}, fresh_{fresh}, clock_{std::move(clock)} {}
 
   /// A peer said this now.
-  auto hear(peer_state said) -> void;
+  auto record_state(peer_state said) -> void;
 
   /// When a peer was last heard, on our clock; none when never.
   [[nodiscard]] auto heard_at(const std::string& vm) const -> std::optional<milliseconds>;
@@ -30,7 +30,8 @@
 
   /// The peer that the store answered last, if that was after the given moment of our clock; else none. Of
   /// one region only, when that is not empty: what is relayed may have to stay there.
-  [[nodiscard]] auto answered_since(milliseconds moment, const std::string& region = {}) const
+  [[nodiscard]] auto find_peer_with_store_contact_since(milliseconds moment,
+                                                        const std::string& region = {}) const
       -> const peer_state*;
 
   /// Requests that peers have running at each upstream, by their latest words.
@@ -51,10 +52,10 @@
   [[nodiscard]] auto holder_of_allowance(int range) const -> std::optional<std::string>;
 
   /// Peers heard of within so many ms.
-  [[nodiscard]] auto heard_within(milliseconds span) const -> std::size_t;
+  [[nodiscard]] auto seen_within(milliseconds span) const -> std::size_t;
 
   /// Peers heard of lately.
-  [[nodiscard]] auto fresh_peers() const -> std::size_t;
+  [[nodiscard]] auto recent_peers() const -> std::size_t;
 
  private:
   struct heard_state {
--- a/birchlever_daemon/gateway_daemon_pages.cpp
+++ b/birchlever_daemon/gateway_daemon_pages.cpp
@@ -71,7 +71,7 @@
   counters.gauge("upstreams_listed", static_cast<double>(context_->upstreams_->size()));
   counters.gauge("upstream_entries_unreadable", static_cast<double>(upstream_follower_->unreadable()));
   counters.gauge("store_reachable", store_->reachable() ? 1 : 0);
-  counters.gauge("peers_heard", peers_ ? static_cast<double>(peers_->views().fresh_peers()) : 0);
+  counters.gauge("peers_heard", peers_ ? static_cast<double>(peers_->views().recent_peers()) : 0);
   counters.gauge("log_lines_dropped", static_cast<double>(dropped_log_lines()));
   counters.gauge("programs_removed", static_cast<double>(sweeper_->removed()));
   counters.gauge("history_cache_bytes", static_cast<double>(context_->programs_->cached_bytes()));
@@ -82,7 +82,8 @@
   auto sure_at = context_->freshness_->sure_at();
   counters.gauge("configuration_age_ms",
                  sure_at ? static_cast<double>(context_->clock_.now() - *sure_at) : never_known);
-  counters.gauge("allotments_without_grantor", grants_ ? static_cast<double>(grants_->unanswered()) : 0);
+  counters.gauge("allotments_without_grantor",
+                 grants_ ? static_cast<double>(grants_->fallback_decisions()) : 0);
   auto answer = http_response{http::status::ok, 11};
   answer.set(http::field::content_type, "text/plain; version=0.0.4");
   const auto* book = context_->configuration_ ? context_->configuration_->accounts_.get() : nullptr;
--- a/birchlever_daemon/gateway_daemon_peers.cpp
+++ b/birchlever_daemon/gateway_daemon_peers.cpp
@@ -43,9 +43,9 @@
     return failure(joined);
   }
   peers_ = std::move(value(joined));
-  peers_->on_news(
+  peers_->on_health_report(
       [this](const std::string& peer, const upstream_news& news) { context_->upstreams_->hear(peer, news); });
-  context_->upstreams_->on_news([this](const upstream_news& news) { peers_->tell(news); });
+  context_->upstreams_->on_news([this](const upstream_news& news) { peers_->publish(news); });
   auto transfer_settings = budget_transfer_settings{};
   transfer_settings.daemon_ = incarnation_name();
   budget_transfer_ = budget_transfer::create(
@@ -85,7 +85,7 @@
   settings.vm_ = settings_.vm_id_;
   settings.address_ = value(first_port).address().to_string() + ":" +
                       std::to_string(value(first_port).port() + grants_port_offset);
-  settings.desk_.buckets_.overdraft_ = settings_.allotment_tolerance_ / 2;
+  settings.grantor_.buckets_.overdraft_ = settings_.allotment_tolerance_ / 2;
   auto limit_of = [this](const std::string& name) -> std::optional<account_allotment> {
     auto book = context_->configuration_ ? context_->configuration_->accounts_ : nullptr;
     const auto* account = book ? book->find(name) : nullptr;
@@ -97,7 +97,7 @@
   }
   grants_ = std::move(value(made));
   context_->allotments_ = grants_;
-  peers_->on_heard([this](const std::string& vm) { grants_->note_heard(vm); });
+  peers_->on_peer_seen([this](const std::string& vm) { grants_->record_seen(vm); });
   peers_->on_list([this](const std::map<std::string, asio::ip::udp::endpoint>& listed) {
     auto members = central_grants::member_map{};
     for (const auto& [vm, address] : listed) {
@@ -111,12 +111,12 @@
 
 auto gateway_daemon::allotment_share() const -> double {
   auto heard = heard_peers{};
-  heard.living_ = peers_->views().heard_within(peer_gone_after);
+  heard.living_ = peers_->views().seen_within(peer_gone_after);
   heard.window_ = allotment_hearing;
-  heard.heard_ = peers_->views().heard_within(allotment_hearing);
+  heard.heard_ = peers_->views().seen_within(allotment_hearing);
   heard.listening_ = context_->clock_.now() - joined_at_;
-  heard.send_gap_ = peers_->settings().send_gap_;
-  heard.receivers_ = static_cast<std::size_t>(peers_->settings().most_receivers_);
+  heard.send_gap_ = peers_->settings().send_interval_;
+  heard.receivers_ = static_cast<std::size_t>(peers_->settings().max_receivers_);
   return reached_share(heard);
 }
 
@@ -157,13 +157,13 @@
 auto gateway_daemon::describe_self() const -> peer_state {
   auto state = peer_state{};
   state.vm_ = settings_.vm_id_;
-  state.store_silence_ = store_->silent_for();
+  state.store_response_age_ = store_->silent_for();
   state.configuration_ = context_->configuration_ ? context_->configuration_->version_ : 0;
   state.control_address_ = settings_.control_address_;
   state.allowance_ranges_ = allowances_ ? allowances_->held() : 0;
   state.follows_ = upstream_feed_ && upstream_feed_->follows();
   if (upstream_feed_) {
-    state.followers_ = upstream_feed_->told_followers();
+    state.followers_ = upstream_feed_->reported_followers();
   }
   state.cores_ = settings_.cores_;
   state.region_ = regions_.region_of(settings_.data_hall_);
@@ -190,7 +190,8 @@
     return std::nullopt;
   }
   auto region = regions_.region_of(settings_.data_hall_);
-  const auto* peer = peers_->views().answered_since(store_->lost_at() + peer_clock_margin, region);
+  const auto* peer =
+      peers_->views().find_peer_with_store_contact_since(store_->lost_at() + peer_clock_margin, region);
   if (peer == nullptr) {
     return std::nullopt;
   }
--- a/fleet_model/allotment_model.cpp
+++ b/fleet_model/allotment_model.cpp
@@ -216,7 +216,7 @@
     auto first = index_of(daemon.order_.first(account_name));
     auto verdict = daemon.desk_.claim(wanted, share_of(grantor), first == grantor, alone, now());
     if (verdict.granted_ && first != grantor && reached(grantor, first)) {
-      events_.after(static_cast<double>(settings_.debit_gap_),
+      events_.after(static_cast<double>(settings_.debit_interval_),
                     [this, first] { daemons_[first]->desk_.debit(account_name, 1); });
     }
     return verdict;
@@ -258,7 +258,7 @@
       });
       return;
     }
-    events_.after(static_cast<double>(settings_.answer_limit_), [=, this] {
+    events_.after(static_cast<double>(settings_.reply_timeout_), [=, this] {
       if (tries + 1 < settings_.tries_) {
         ask(daemon, candidates, next, tries + 1, wanted, done);
         return;
--- a/fleet_model/daemon_group.cpp
+++ b/fleet_model/daemon_group.cpp
@@ -12,14 +12,15 @@
   for (auto index = 0; index < pattern.daemons_; ++index) {
     auto vm = "vm-" + std::to_string(index);
     auto hall = hall_name(index, pattern);
-    daemons_.push_back(std::make_unique<model_daemon>(vm, hall, hash_of(vm), exchange_.fresh_, events));
+    daemons_.push_back(
+        std::make_unique<model_daemon>(vm, hall, hash_of(vm), exchange_.max_state_age_, events));
     auto& made = *daemons_.back();
     for (const auto& one : upstreams.all()) {
       made.directory_.put(one.entry_);
     }
     made.directory_.on_news([this, index](const upstream_news& news) { tell(index, news); });
     auto phase = source.chance();
-    events.after(phase * static_cast<double>(exchange_.send_gap_), [this, index] { say(index); });
+    events.after(phase * static_cast<double>(exchange_.send_interval_), [this, index] { say(index); });
     events.after(phase * look_gap_ms, [this, index] { look(index); });
   }
 }
@@ -37,12 +38,12 @@
 
 auto daemon_group::say(int speaker) -> void {
   auto said = at(speaker).describe();
-  auto receivers = std::min(exchange_.most_receivers_, static_cast<int>(daemons_.size()) - 1);
+  auto receivers = std::min(exchange_.max_receivers_, static_cast<int>(daemons_.size()) - 1);
   for (auto told = 0; told < receivers; ++told) {
     auto listener = some();
-    events_->after(way_ms, [this, listener, said] { at(listener).views_.hear(said); });
+    events_->after(way_ms, [this, listener, said] { at(listener).views_.record_state(said); });
   }
-  events_->after(static_cast<double>(exchange_.send_gap_), [this, speaker] { say(speaker); });
+  events_->after(static_cast<double>(exchange_.send_interval_), [this, speaker] { say(speaker); });
 }
 
 auto daemon_group::tell(int speaker, const upstream_news& news) -> void {
@@ -50,8 +51,8 @@
   daemon.untold_.push_back(news);
   if (!std::exchange(daemon.telling_, true)) {
     auto since_last = events_->now_ms() - daemon.told_at_ms_;
-    auto gap = std::max(static_cast<double>(exchange_.news_gap_),
-                        static_cast<double>(exchange_.least_news_gap_) - since_last);
+    auto gap = std::max(static_cast<double>(exchange_.report_delay_),
+                        static_cast<double>(exchange_.min_report_interval_) - since_last);
     events_->after(gap, [this, speaker] { send_news(speaker); });
   }
 }
@@ -61,7 +62,7 @@
   daemon.telling_ = false;
   daemon.told_at_ms_ = events_->now_ms();
   auto news = std::make_shared<std::vector<upstream_news>>(std::exchange(daemon.untold_, {}));
-  auto share = static_cast<double>(exchange_.most_told_) / static_cast<double>(daemons_.size());
+  auto share = static_cast<double>(exchange_.max_report_receivers_) / static_cast<double>(daemons_.size());
   for (auto listener = 0; listener < static_cast<int>(daemons_.size()); ++listener) {
     if (listener == speaker || source_->chance() >= share) {
       continue;
--- a/unit_tests/controllers/central_grants_test.cpp
+++ b/unit_tests/controllers/central_grants_test.cpp
@@ -35,8 +35,8 @@
     settings.vm_ = vm(index);
     const auto& address = addresses_[vm(index)];
     settings.address_ = address.address().to_string() + ":" + std::to_string(address.port());
-    settings.debit_gap_ = 20;
-    settings.answer_limit_ = 40;
+    settings.debit_interval_ = 20;
+    settings.reply_timeout_ = 40;
     auto limit_of = [this](const std::string& account) {
       return account == "unlimited" ? std::nullopt : std::optional{limit_};
     };
@@ -109,7 +109,7 @@
   }
   CHECK(fleet.claim(0, account).granted_);
   CHECK(fleet.claim(1, account).granted_);
-  CHECK(fleet.daemons_[0]->unanswered() == 0);
+  CHECK(fleet.daemons_[0]->fallback_decisions() == 0);
 }
 
 TEST_CASE("where nobody answers, equal shares hold") {
@@ -129,7 +129,7 @@
     account = "account-" + std::to_string(number);
   }
   CHECK(fleet.claim(0, account).granted_);
-  CHECK(fleet.daemons_[0]->unanswered() == 1);
+  CHECK(fleet.daemons_[0]->fallback_decisions() == 1);
 }
 
 TEST_CASE("a daemon that does not know the fleet yet assumes the largest") {
--- a/unit_tests/controllers/peer_exchange_test.cpp
+++ b/unit_tests/controllers/peer_exchange_test.cpp
@@ -18,9 +18,9 @@
   auto settings = peer_exchange_settings{};
   settings.vm_ = vm;
   settings.address_ = free_udp_address(loop);
-  settings.send_gap_ = 20;
+  settings.send_interval_ = 20;
   settings.list_gap_ = 50;
-  settings.fresh_ = 300;
+  settings.max_state_age_ = 300;
   said.vm_ = vm;
   auto joined = peer_exchange::create(loop, rows, settings, [said] { return said; });
   REQUIRE(ok(joined));
@@ -38,7 +38,7 @@
   REQUIRE(value(decoded).allowance_ranges_ == 5);
   REQUIRE(value(decoded).news_.at(0).id_ == "u2");
   REQUIRE(value(decoded).news_.at(0).failed_);
-  REQUIRE(value(decoded).store_silence_ == 20);
+  REQUIRE(value(decoded).store_response_age_ == 20);
   REQUIRE(value(decoded).follows_);
   REQUIRE(failure(decode_peer_state("nonsense")).code_ == error_code::malformed_json);
   REQUIRE(failure(decode_peer_state("")).code_ == error_code::malformed_json);
@@ -51,21 +51,21 @@
   auto two = join(loop, rows, "vm-2", {"", std::nullopt, 4, "", {{"u1", 2}, {"u2", 1}}, {}});
   auto clock = steady_clock{};
   auto give_up = clock.now() + 4000;
-  while ((one->views().fresh_peers() == 0 || two->views().fresh_peers() == 0) && clock.now() < give_up) {
+  while ((one->views().recent_peers() == 0 || two->views().recent_peers() == 0) && clock.now() < give_up) {
     loop.run_for(std::chrono::milliseconds{20});
     loop.restart();
   }
-  REQUIRE(two->views().answered_since(clock.now() - 1000)->vm_ == "vm-1");
-  REQUIRE(two->views().answered_since(clock.now() - 30) == nullptr);
-  REQUIRE(one->views().answered_since(0) == nullptr);
+  REQUIRE(two->views().find_peer_with_store_contact_since(clock.now() - 1000)->vm_ == "vm-1");
+  REQUIRE(two->views().find_peer_with_store_contact_since(clock.now() - 30) == nullptr);
+  REQUIRE(one->views().find_peer_with_store_contact_since(0) == nullptr);
   REQUIRE(one->views().running_elsewhere().at("u1") == 2);
   auto heard = std::vector<upstream_news>{};
-  one->on_news([&](const std::string& peer, const upstream_news& news) {
+  one->on_health_report([&](const std::string& peer, const upstream_news& news) {
     CHECK(peer == "vm-2");
     heard.push_back(news);
   });
-  two->tell({"u1", true});
-  two->tell({"u2", false});
+  two->publish({"u1", true});
+  two->publish({"u2", false});
   give_up = clock.now() + 4000;
   while (heard.size() < 2 && clock.now() < give_up) {
     loop.run_for(std::chrono::milliseconds{20});
--- a/unit_tests/controllers/peer_feed_test.cpp
+++ b/unit_tests/controllers/peer_feed_test.cpp
@@ -107,7 +107,7 @@
     REQUIRE(run_loop_until(loop_, [&] { return one_.feed_->follows() && two_.follower_->primed(); }));
     auto& first = rendezvous_first();
     auto& second = &first == &one_ ? two_ : one_;
-    second.views_.hear(first.say());
+    second.views_.record_state(first.say());
     told_ = &second;
     telling_ = &first;
     run_loop_for(loop_, 300);  // A look at the store that was under way ends.
@@ -116,7 +116,7 @@
   /// The daemon that the other one takes for its follower; the other way round each would look itself.
   auto rendezvous_first() -> feed_daemon& {
     auto heard = peer_views{"vm-2", 60000, std::make_shared<steady_clock>()};
-    heard.hear(one_.say());
+    heard.record_state(one_.say());
     return heard.preferred_for("followers") ? two_ : one_;
   }
 
@@ -190,7 +190,7 @@
   fixture.telling_->listener_->stop();
   auto silent = peer_state{fixture.telling_->say()};
   silent.control_address_ = "127.0.0.1:" + std::to_string(free_port(fixture.loop_));
-  fixture.told_->views_.hear(silent);
+  fixture.told_->views_.record_state(silent);
   fixture.rows_->put({"servers", "", "u1"}, "leaving#2");
   auto known = [&] { return !fixture.told_->directory_->find("u1")->takes_requests(); };
   CHECK(run_loop_until(fixture.loop_, known, 1000));
@@ -247,21 +247,21 @@
   auto teller = peer_state{};
   teller.vm_ = "vm-2";
   teller.followers_ = {{"vm-3", "10.0.0.3:80", 0.5, 1000}, {"vm-1", "10.0.0.1:80", 0.5, 0}};
-  views.hear(teller);
+  views.record_state(teller);
   REQUIRE(views.followers_within(3000).size() == 1);  // Not this daemon itself.
   CHECK(views.followers_within(3000)[0].vm_ == "vm-3");
   CHECK(views.followers_within(3000)[0].age_ == 1000);
   CHECK(views.followers_within(900).empty());
   clock->advance(1000);
-  views.hear(teller);  // The same again is no newer... but for the time that has passed.
+  views.record_state(teller);  // The same again is no newer... but for the time that has passed.
   CHECK(views.followers_within(3000)[0].age_ == 1000);
   auto itself = peer_state{};
   itself.vm_ = "vm-3";
-  views.hear(itself);
+  views.record_state(itself);
   CHECK(views.followers_within(3000).empty());
   clock->advance(5000);
   itself.follows_ = true;
-  views.hear(itself);
+  views.record_state(itself);
   clock->advance(3001);
   CHECK(views.followers_within(3000).empty());
 }
