--- a/birchlever/controllers/actor_messages.h
+++ b/birchlever/controllers/actor_messages.h
@@ -1,4 +1,4 @@
-/// Messages between the actors of one daemon. They never leave the process.
+/// Messages between the actors of one daemon; they never leave the process.
 #pragma once
 
 #include <atomic>
@@ -14,42 +14,42 @@
 
 namespace birchlever {
 
-/// Records to write; the shard's controller counts batches from 1 within an epoch.
+/// Records to append to the journal. The shard's controller numbers batches from 1 within an epoch.
 struct append_message {
   std::int64_t batch_ = 0;
   std::vector<journal_record> records_;
 };
 
-/// A shard was taken over, and this is what is durable.
+/// Sent after a shard's takeover with the state recovered from the journal.
 struct recovered_message {
   std::int64_t epoch_ = 0;
-  journal_recovery found_;
+  journal_recovery recovery_;
   milliseconds took_ms_ = 0;
 };
 
-/// All batches up to this one are durable; the journal stands at this row.
+/// All batches up to `batch_` are durable; `sequence_` is the journal's last row.
 struct committed_message {
   std::int64_t batch_ = 0;
   std::int64_t sequence_ = 0;
 };
 
-/// The shard's control row as read, and this daemon's place in the preference order.
+/// The shard's control row as read, and this daemon's rank among the shard's preferred owners.
 struct observed_message {
   std::optional<table_row> row_;
   int rank_ = 0;
-  std::string successor_;  ///< Daemon that should own the shard instead; empty when none.
+  std::string successor_;  ///< Daemon that should own the shard instead; empty if none.
 };
 
-/// Until when a shard's lease may be relied on; written by its writer, read by its controller.
+/// Validity of a shard's lease; written by the shard's writer, read by its controller.
 struct lease_validity {
   std::atomic<bool> held_{false};
   std::atomic<milliseconds> until_{0};
 };
 
-/// What an upstream says of a call.
+/// State of a call as reported by its upstream.
 enum class probe_outcome { running, gone, executed, voided, unknown };
 
-/// A question about a call to its upstream, and the answer.
+/// A query about a call's state, sent to its upstream, and the reply.
 struct probe_message {
   std::string account_;
   std::string program_;
@@ -62,7 +62,7 @@
   std::string answer_;
 };
 
-/// Live programs of a shard, for the sweep.
+/// Sessions of a shard's live programs, for the sweep of engine memory.
 struct sweep_message {
   int shard_ = 0;
   std::vector<std::string> live_sessions_;
--- a/birchlever/controllers/control_controller.cpp
+++ b/birchlever/controllers/control_controller.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr auto control_prefix = "control/";
-constexpr auto most_control_rows = 2048;
-constexpr auto rebalance_after_looks = 3;
+constexpr auto max_control_rows = 2048;
+constexpr auto rebalance_after_polls = 3;
 
 }  // namespace
 
@@ -32,23 +32,23 @@
   send(this, tick_atom::value);
   return {
       [this](tick_atom) {
-        look_at_vms();
-        look();
+        poll_vms();
+        scan_control_rows();
         delayed_send(this, std::chrono::milliseconds{next_gap()}, tick_atom::value);
       },
-      [this](poll_atom) { look(); },
+      [this](poll_atom) { scan_control_rows(); },
       [this](hand_over_atom) { hand_over_all(); },
       [this](stop_atom) { quit(); },
   };
 }
 
-/// A tenth more or less than the setting, so that daemons that began together do not look in step.
+/// Returns the poll interval with 10% jitter, so that daemons started together do not poll in step.
 auto control_controller::next_gap() -> milliseconds {
   auto spread = std::uniform_real_distribution<double>{0.9, 1.1};
   return static_cast<milliseconds>(static_cast<double>(context_->settings_.poll_ms_) * spread(generator_));
 }
 
-auto control_controller::look_at_vms() -> void {
+auto control_controller::poll_vms() -> void {
   auto entries = context_->vm_list_->fetch();
   if (!ok(entries)) {
     context_->metrics_->count("vm_list_failures_total");
@@ -60,12 +60,12 @@
                                       configuration->drained_halls_);
 }
 
-auto control_controller::look() -> void {
-  auto began = context_->clock_->now();
-  auto rows = context_->store_->scan(control_prefix, "", most_control_rows);
+auto control_controller::scan_control_rows() -> void {
+  auto started_at = context_->clock_->now();
+  auto rows = context_->store_->scan(control_prefix, "", max_control_rows);
   if (!ok(rows)) {
     context_->metrics_->count("control_look_failures_total");
-    log_failure(log_level::warning, "control_look_failed", failure(rows));
+    log_failure(log_level::warning, "control_scan_failed", failure(rows));
     return;
   }
   auto by_key = std::map<std::string, table_row>{};
@@ -76,14 +76,15 @@
     auto found = by_key.find(key);
     return found == by_key.end() ? std::nullopt : std::optional{found->second};
   };
-  take_configuration(find(versioned_configuration::row_key()), began);
+  observe_configuration(find(versioned_configuration::row_key()), started_at);
   for (auto shard = 0; shard < static_cast<int>(shards_.size()); ++shard) {
-    tell_shard(shard, find(lease::row_key(shard)));
+    notify_shard(shard, find(lease::row_key(shard)));
   }
 }
 
-auto control_controller::take_configuration(const std::optional<table_row>& row, milliseconds began) -> void {
-  context_->configuration_->observe(row, began);
+auto control_controller::observe_configuration(const std::optional<table_row>& row, milliseconds started_at)
+    -> void {
+  context_->configuration_->observe(row, started_at);
   if (context_->configuration_->generation() != loaded_generation_) {
     load_configuration();
   }
@@ -114,20 +115,20 @@
             {{"generation", current.generation_}, {"author", current.author_}});
 }
 
-auto control_controller::tell_shard(int shard, const std::optional<table_row>& row) -> void {
+auto control_controller::notify_shard(int shard, const std::optional<table_row>& row) -> void {
   auto ranking = context_->fleet_->preferred_owners(shard);
-  auto place = std::find(ranking.begin(), ranking.end(), context_->daemon_id_);
+  auto position = std::find(ranking.begin(), ranking.end(), context_->daemon_id_);
   auto observed = std::make_shared<observed_message>();
   observed->row_ = row;
-  observed->rank_ =
-      place == ranking.end() ? static_cast<int>(ranking.size()) : static_cast<int>(place - ranking.begin());
+  observed->rank_ = position == ranking.end() ? static_cast<int>(ranking.size())
+                                              : static_cast<int>(position - ranking.begin());
   observed->successor_ = better_owner(shard, ranking);
   anon_send(shards_[static_cast<std::size_t>(shard)], observed_atom::value,
             shared<observed_message>{observed});
 }
 
-/// The daemon to hand a shard we own over to: first in the ranking for some looks already, and able to take
-/// it.
+/// Returns the daemon to hand an owned shard over to: first in the ranking for several polls, and able to own
+/// shards. Empty if none.
 auto control_controller::better_owner(int shard, const std::vector<std::string>& ranking) -> std::string {
   auto& since = better_owner_since_[static_cast<std::size_t>(shard)];
   auto owned = context_->fleet_->claim(shard).address_ == context_->peer_address_;
@@ -139,7 +140,7 @@
   if (since == 0) {
     since = now;
   }
-  if (now - since < rebalance_after_looks * context_->settings_.poll_ms_) {
+  if (now - since < rebalance_after_polls * context_->settings_.poll_ms_) {
     return {};
   }
   since = 0;
--- a/birchlever/controllers/control_controller.h
+++ b/birchlever/controllers/control_controller.h
@@ -1,4 +1,4 @@
-/// Looks at the platform: one scan of the control rows for leases and configuration, and the VM list.
+/// Polls the store's control rows (leases, configuration) and the VM list.
 #pragma once
 
 #include <memory>
@@ -13,8 +13,8 @@
 struct daemon_context;
 class owner_gateway;
 
-/// A detached actor. One scan a look tells this daemon everything about leases and configuration, so the
-/// store sees one read a look from each daemon, however many shards there are.
+/// A detached actor. Reads all control rows in one scan per poll, so that the number of store reads does not
+/// depend on the number of shards.
 class control_controller final : public caf::event_based_actor {
  public:
   control_controller(caf::actor_config& config, std::shared_ptr<daemon_context> context,
@@ -23,11 +23,11 @@
   auto make_behavior() -> caf::behavior override;
 
  private:
-  auto look() -> void;
+  auto scan_control_rows() -> void;
   auto next_gap() -> milliseconds;
-  auto look_at_vms() -> void;
-  auto take_configuration(const std::optional<table_row>& row, milliseconds began) -> void;
-  auto tell_shard(int shard, const std::optional<table_row>& row) -> void;
+  auto poll_vms() -> void;
+  auto observe_configuration(const std::optional<table_row>& row, milliseconds started_at) -> void;
+  auto notify_shard(int shard, const std::optional<table_row>& row) -> void;
   [[nodiscard]] auto better_owner(int shard, const std::vector<std::string>& ranking) -> std::string;
   auto load_configuration() -> void;
   auto hand_over_all() -> void;
@@ -37,7 +37,7 @@
   std::shared_ptr<owner_gateway> gateway_;
   std::mt19937_64 generator_{std::random_device{}()};
   std::int64_t loaded_generation_ = -1;
-  std::vector<milliseconds> better_owner_since_;  ///< Per shard; zero when this daemon is the best owner.
+  std::vector<milliseconds> better_owner_since_;  ///< By shard; 0 while this daemon is the preferred owner.
 };
 
 }  // namespace birchlever
--- a/birchlever/controllers/daemon_context.h
+++ b/birchlever/controllers/daemon_context.h
@@ -1,4 +1,4 @@
-/// What the parts of one daemon share.
+/// State shared by the components of one daemon.
 #pragma once
 
 #include <atomic>
@@ -21,11 +21,11 @@
 class versioned_configuration;
 class vm_list;
 
-/// Made once at start; every member is thread safe and outlives all controllers and filters.
+/// Created once at startup. Every member is thread safe and outlives all controllers and filters.
 struct daemon_context {
   daemon_settings settings_;
-  std::string daemon_id_;     ///< Identity on the VM list.
-  std::string instance_id_;   ///< Identity of this process; a restart gets another.
+  std::string daemon_id_;     ///< Id on the VM list.
+  std::string instance_id_;   ///< Id of this process; changes with every restart.
   std::string peer_address_;  ///< "ip:port" for other daemons.
   std::shared_ptr<clock_interface> clock_;
   std::shared_ptr<table_store_interface> store_;
@@ -37,8 +37,8 @@
   std::shared_ptr<policy_comparison> comparison_;
   std::shared_ptr<metrics> metrics_;
   std::shared_ptr<trace_recorder> traces_;
-  std::shared_ptr<http_connection_pool> upstream_pool_;  ///< For short questions.
-  std::shared_ptr<http_connection_pool> stream_pool_;    ///< For calls; waits long for answers.
+  std::shared_ptr<http_connection_pool> upstream_pool_;  ///< For short requests.
+  std::shared_ptr<http_connection_pool> stream_pool_;    ///< For calls, with long response timeouts.
   std::atomic<bool> stopping_{false};
   std::atomic<std::int64_t> calls_in_flight_{0};
 };
--- a/birchlever/controllers/entry_controller.cpp
+++ b/birchlever/controllers/entry_controller.cpp
@@ -5,7 +5,7 @@
 namespace birchlever {
 namespace {
 
-constexpr auto catch_up_gap = std::chrono::milliseconds{100};
+constexpr auto reconcile_interval = std::chrono::milliseconds{100};
 
 }  // namespace
 
@@ -16,8 +16,8 @@
   send(this, tick_atom::value);
   return {
       [this](tick_atom) {
-        gateway_->catch_up();
-        delayed_send(this, catch_up_gap, tick_atom::value);
+        gateway_->reconcile();
+        delayed_send(this, reconcile_interval, tick_atom::value);
       },
       [this](stop_atom) { quit(); },
   };
--- a/birchlever/controllers/entry_controller.h
+++ b/birchlever/controllers/entry_controller.h
@@ -1,4 +1,4 @@
-/// Looks after the calls this daemon has under way as an entry.
+/// Periodic maintenance of the calls that this entry daemon has in flight.
 #pragma once
 
 #include <memory>
@@ -10,7 +10,7 @@
 struct daemon_context;
 class owner_gateway;
 
-/// A detached actor that lets the gateway announce calls to new owners and repeat open settlements.
+/// A detached actor that periodically calls owner_gateway::reconcile().
 class entry_controller final : public caf::event_based_actor {
  public:
   entry_controller(caf::actor_config& config, std::shared_ptr<owner_gateway> gateway);
--- a/birchlever/controllers/fleet_view.cpp
+++ b/birchlever/controllers/fleet_view.cpp
@@ -13,15 +13,15 @@
       claims_(static_cast<std::size_t>(shard_count)) {}
 
 auto fleet_view::set_vms(std::vector<vm_entry> entries) -> void {
-  auto fresh = std::make_shared<const std::vector<vm_entry>>(std::move(entries));
+  auto updated = std::make_shared<const std::vector<vm_entry>>(std::move(entries));
   auto lock = std::lock_guard{mutex_};
-  vms_ = std::move(fresh);
+  vms_ = std::move(updated);
 }
 
 auto fleet_view::set_configuration(fleet_configuration configuration) -> void {
-  auto fresh = std::make_shared<const fleet_configuration>(std::move(configuration));
+  auto updated = std::make_shared<const fleet_configuration>(std::move(configuration));
   auto lock = std::lock_guard{mutex_};
-  configuration_ = std::move(fresh);
+  configuration_ = std::move(updated);
 }
 
 auto fleet_view::set_claim(int shard, const lease_claim& claim) -> void {
@@ -61,11 +61,11 @@
 auto fleet_view::preferred_owners(int shard) const -> std::vector<std::string> {
   auto entries = vms();
   auto pinned = configuration()->pinned_shards_;
-  auto subject = "shard " + std::to_string(shard);
+  auto key = "shard " + std::to_string(shard);
   auto ranked = std::vector<std::pair<std::uint64_t, std::string>>{};
   for (const auto& entry : *entries) {
     if (entry.kind_ == vm_kind::daemon && !entry.leaving_) {
-      ranked.emplace_back(rendezvous_weight(entry.id_, subject), entry.id_);
+      ranked.emplace_back(rendezvous_weight(entry.id_, key), entry.id_);
     }
   }
   std::sort(ranked.rbegin(), ranked.rend());
@@ -75,9 +75,9 @@
   }
   auto pin = pinned.find(shard);
   if (pin != pinned.end()) {
-    auto place = std::find(ids.begin(), ids.end(), pin->second);
-    if (place != ids.end()) {
-      std::rotate(ids.begin(), place, place + 1);
+    auto position = std::find(ids.begin(), ids.end(), pin->second);
+    if (position != ids.end()) {
+      std::rotate(ids.begin(), position, position + 1);
     }
   }
   return ids;
--- a/birchlever/controllers/fleet_view.h
+++ b/birchlever/controllers/fleet_view.h
@@ -1,4 +1,4 @@
-/// What this daemon last learned of the fleet: VMs, configuration, and who owns which shard.
+/// The latest known state of the fleet: VMs, configuration, and the owner of each shard.
 #pragma once
 
 #include <memory>
@@ -13,7 +13,7 @@
 
 namespace birchlever {
 
-/// Snapshots that readers share; thread safe.
+/// Thread safe; getters return shared snapshots.
 class fleet_view {
  public:
   explicit fleet_view(int shard_count);
@@ -27,13 +27,14 @@
   [[nodiscard]] auto claim(int shard) const -> lease_claim;
   [[nodiscard]] auto shard_count() const -> int { return static_cast<int>(claims_.size()); }
 
-  /// Peer addresses of all current owners, each once, in order.
+  /// Returns the peer addresses of all current owners, sorted and without duplicates.
   [[nodiscard]] auto owners() const -> std::vector<std::string>;
 
-  /// Daemons that are live and not leaving, best first for the shard. A pinned daemon comes before all.
+  /// Returns the daemons that are live and not leaving, most preferred for the shard first. A pinned daemon
+  /// precedes all others.
   [[nodiscard]] auto preferred_owners(int shard) const -> std::vector<std::string>;
 
-  /// The entry of an upstream.
+  /// Returns a VM's entry, or none if it is not listed.
   [[nodiscard]] auto find_vm(const std::string& id) const -> std::optional<vm_entry>;
 
  private:
--- a/birchlever/controllers/owner_gateway.cpp
+++ b/birchlever/controllers/owner_gateway.cpp
@@ -19,18 +19,18 @@
 namespace birchlever {
 namespace {
 
-constexpr auto owner_patience_ms = milliseconds{800};
-constexpr auto owner_retry_gap = std::chrono::milliseconds{40};
-constexpr auto peer_slack_ms = milliseconds{1000};
+constexpr auto max_owner_wait_ms = milliseconds{800};
+constexpr auto owner_retry_interval = std::chrono::milliseconds{40};
+constexpr auto peer_margin_ms = milliseconds{1000};
 constexpr auto text_timeout_ms = milliseconds{5000};
 constexpr auto query_timeout_ms = milliseconds{3000};
 constexpr auto short_timeout_ms = milliseconds{1000};
-constexpr auto settlement_patience_ms = milliseconds{60000};
+constexpr auto max_settlement_wait_ms = milliseconds{60000};
 constexpr auto no_owner_retry_ms = std::int64_t{1000};
 
 enum text_kind { create_kind, end_kind, history_kind };
 
-/// True when another try at the owner may help and cannot do harm.
+/// Returns true if the owner may have changed, so that the request can be retried.
 auto owner_is_changing(const error& failure) -> bool {
   return failure.code_ == error_code::not_owner || failure.code_ == error_code::owner_unreachable;
 }
@@ -60,15 +60,15 @@
   return made;
 }
 
-auto owner_gateway::heard(std::int64_t generation) -> void {
+auto owner_gateway::record_generation(std::int64_t generation) -> void {
   context_->configuration_->heard(generation);
 }
 
 template <class Reply, class Local, class Remote>
-auto owner_gateway::reach(int shard, milliseconds patience, Local local, Remote remote) -> Reply {
-  auto give_up_at = context_->clock_->now() + patience;
+auto owner_gateway::call_owner(int shard, milliseconds max_wait, Local local, Remote remote) -> Reply {
+  auto deadline = context_->clock_->now() + max_wait;
   auto reply =
-      Reply{error{error_code::owner_unreachable, "shard " + std::to_string(shard) + " has no owner now",
+      Reply{error{error_code::owner_unreachable, "shard " + std::to_string(shard) + " currently has no owner",
                   ran_state::not_run, no_owner_retry_ms}};
   while (true) {
     auto claim = context_->fleet_->claim(shard);
@@ -77,18 +77,18 @@
     } else if (!claim.address_.empty()) {
       reply = remote(claim.address_);
     }
-    if (ok(reply) || !owner_is_changing(failure(reply)) || context_->clock_->now() >= give_up_at) {
+    if (ok(reply) || !owner_is_changing(failure(reply)) || context_->clock_->now() >= deadline) {
       return reply;
     }
-    std::this_thread::sleep_for(owner_retry_gap);
+    std::this_thread::sleep_for(owner_retry_interval);
   }
 }
 
 auto owner_gateway::open(const open_request& request) -> open_reply {
   auto shard = shard_for(request.order_.account_, request.order_.program_);
   auto ticket_may_be_lost = false;
-  auto reply = reach<open_reply>(
-      shard, owner_patience_ms,
+  auto reply = call_owner<open_reply>(
+      shard, max_owner_wait_ms,
       [&] {
         auto local = shards_->open(shard, request);
         ticket_may_be_lost =
@@ -97,7 +97,7 @@
       },
       [&](const std::string& address) -> open_reply {
         auto message = rpc::open_reply{};
-        auto called = peers_->call(address, request.order_.deadline_ + peer_slack_ms, [&](auto& client) {
+        auto called = peers_->call(address, request.order_.deadline_ + peer_margin_ms, [&](auto& client) {
           client.open_call(message, envelope(), to_message(request));
         });
         if (!ok(called)) {
@@ -106,7 +106,7 @@
           fault.ran_ = ran_state::not_run;  // A ticket that never arrived is never used.
           return fault;
         }
-        heard(message.generation);
+        record_generation(message.generation);
         return from_message(message);
       });
   if (!ok(reply) && ticket_may_be_lost) {
@@ -115,7 +115,7 @@
   return reply;
 }
 
-/// A ticket that was given out but never arrived here is surely not used; its owner must not wait for it.
+/// Voids a ticket that was issued but never arrived, so that its owner does not wait for it.
 auto owner_gateway::void_later(const open_request& request) -> void {
   auto unused = settle_request{};
   unused.report_.account_ = request.order_.account_;
@@ -130,8 +130,8 @@
 
 auto owner_gateway::settle_later(const settle_request& request) -> void {
   auto lock = std::lock_guard{mutex_};
-  under_way_.erase(request.report_.sequence_);
-  open_settlements_.push_back({request, context_->clock_->now() + settlement_patience_ms});
+  calls_in_flight_.erase(request.report_.sequence_);
+  open_settlements_.push_back({request, context_->clock_->now() + max_settlement_wait_ms});
 }
 
 auto owner_gateway::send_accepted(const accepted_report& report) -> void {
@@ -151,42 +151,43 @@
 auto owner_gateway::accepted(const accepted_report& report) -> void {
   {
     auto lock = std::lock_guard{mutex_};
-    under_way_[report.sequence_] = {report, report.epoch_};
+    calls_in_flight_[report.sequence_] = {report, report.epoch_};
   }
   send_accepted(report);
 }
 
-auto owner_gateway::settle_once(const settle_request& request, milliseconds patience) -> settle_reply {
+auto owner_gateway::settle_once(const settle_request& request, milliseconds max_wait) -> settle_reply {
   const auto& report = request.report_;
   auto shard = shard_for(report.account_, report.program_);
-  return reach<settle_reply>(
-      shard, patience, [&] { return shards_->settle(shard, request, patience); },
+  return call_owner<settle_reply>(
+      shard, max_wait, [&] { return shards_->settle(shard, request, max_wait); },
       [&](const std::string& address) -> settle_reply {
         auto message = rpc::settle_reply{};
-        auto called = peers_->call(address, patience, [&](auto& client) {
+        auto called = peers_->call(address, max_wait, [&](auto& client) {
           client.settle_call(message, envelope(), to_message(request));
         });
         if (!ok(called)) {
           return failure(called);
         }
-        heard(message.generation);
+        record_generation(message.generation);
         return from_message(message);
       });
 }
 
 auto owner_gateway::settle(const settle_request& request) -> settle_reply {
-  auto patience = context_->settings_.settle_wait_ms_;
-  auto reply = settle_once(request, patience);
+  auto max_wait = context_->settings_.settle_wait_ms_;
+  auto reply = settle_once(request, max_wait);
   auto confirmed = ok(reply) || !owner_is_changing(failure(reply));
   auto lock = std::lock_guard{mutex_};
-  under_way_.erase(request.report_.sequence_);
+  calls_in_flight_.erase(request.report_.sequence_);
   if (confirmed) {
     return reply;
   }
-  open_settlements_.push_back({request, context_->clock_->now() + settlement_patience_ms});
+  open_settlements_.push_back({request, context_->clock_->now() + max_settlement_wait_ms});
   context_->metrics_->count("settlements_put_off_total");
-  return error{error_code::answer_not_recorded, "the answer is whole but its record is not confirmed yet",
-               ran_state::ran, no_owner_retry_ms};
+  return error{error_code::answer_not_recorded,
+               "the answer is complete but no owner has confirmed its record yet", ran_state::ran,
+               no_owner_retry_ms};
 }
 
 auto owner_gateway::open_settlements() const -> std::size_t {
@@ -194,33 +195,33 @@
   return open_settlements_.size();
 }
 
-auto owner_gateway::catch_up() -> void {
-  auto announce = std::vector<accepted_report>{};
-  auto repeat = std::vector<open_settlement>{};
+auto owner_gateway::reconcile() -> void {
+  auto to_announce = std::vector<accepted_report>{};
+  auto to_retry = std::vector<open_settlement>{};
   {
     auto lock = std::lock_guard{mutex_};
-    for (auto& [sequence, call] : under_way_) {
+    for (auto& [sequence, call] : calls_in_flight_) {
       auto epoch = context_->fleet_->claim(shard_for(call.report_.account_, call.report_.program_)).epoch_;
       if (epoch > call.announced_epoch_ && test_switches::instance().mechanism_on("call_adoption")) {
         call.announced_epoch_ = epoch;
-        announce.push_back(call.report_);
+        to_announce.push_back(call.report_);
       }
     }
-    repeat.swap(open_settlements_);
+    to_retry.swap(open_settlements_);
   }
-  for (const auto& report : announce) {
+  for (const auto& report : to_announce) {
     send_accepted(report);
   }
   auto still_open = std::vector<open_settlement>{};
-  for (auto& one : repeat) {
-    auto reply = settle_once(one.request_, short_timeout_ms);
+  for (auto& settlement : to_retry) {
+    auto reply = settle_once(settlement.request_, short_timeout_ms);
     auto open = !ok(reply) && owner_is_changing(failure(reply));
-    if (open && context_->clock_->now() < one.give_up_at_) {
-      still_open.push_back(std::move(one));
+    if (open && context_->clock_->now() < settlement.expires_at_) {
+      still_open.push_back(std::move(settlement));
     } else if (open) {
-      log_event(
-          log_level::error, "settlement_given_up",
-          {{"program", one.request_.report_.program_}, {"call", std::int64_t{one.request_.report_.number_}}});
+      log_event(log_level::error, "settlement_abandoned",
+                {{"program", settlement.request_.report_.program_},
+                 {"call", std::int64_t{settlement.request_.report_.number_}}});
     }
   }
   auto lock = std::lock_guard{mutex_};
@@ -266,15 +267,15 @@
     }
     return reply.text;
   };
-  auto give_up_at = context_->clock_->now() + owner_patience_ms;
+  auto deadline = context_->clock_->now() + max_owner_wait_ms;
   while (true) {
-    auto reply = reach<result<std::string>>(shard, owner_patience_ms, local, remote);
+    auto reply = call_owner<result<std::string>>(shard, max_owner_wait_ms, local, remote);
     auto changing =
         ok(reply) && error_in(value(reply)) && value(reply).find("\"not_owner\"") != std::string::npos;
-    if (!changing || context_->clock_->now() >= give_up_at) {
+    if (!changing || context_->clock_->now() >= deadline) {
       return reply;
     }
-    std::this_thread::sleep_for(owner_retry_gap);
+    std::this_thread::sleep_for(owner_retry_interval);
   }
 }
 
--- a/birchlever/controllers/owner_messages.h
+++ b/birchlever/controllers/owner_messages.h
@@ -1,4 +1,4 @@
-/// What entry daemons and shard owners say to each other, inside a process and across.
+/// Messages between entry daemons and shard owners, within a process and across processes.
 #pragma once
 
 #include <cstdint>
@@ -12,14 +12,14 @@
 
 namespace birchlever {
 
-/// A call that asks its shard's owner for a ticket.
+/// Requests a ticket for a call from its shard's owner.
 struct open_request {
   call_order order_;
-  std::string request_id_;  ///< Asking twice with the same id gives the same ticket.
+  std::string request_id_;  ///< Repeated requests with the same id get the same ticket.
   std::string model_;
-  std::string service_;  ///< Plain service; empty for engines.
+  std::string service_;  ///< Name of the plain service; empty for engines.
   std::string data_hall_;
-  std::vector<std::uint64_t> prefix_hashes_;  ///< Of the prompt's blocks, each over all before it.
+  std::vector<std::uint64_t> prefix_hashes_;  ///< By prompt block; each covers all blocks up to its own.
   std::vector<std::string> avoid_;            ///< Upstreams that failed this call.
   double account_share_ = 1;
   std::string traceparent_;
@@ -32,22 +32,22 @@
   endpoint address_;
   int priority_ = 0;
   milliseconds send_within_ = 0;
-  milliseconds waited_ = 0;  ///< Time the request spent at the owner.
+  milliseconds waited_ = 0;  ///< Time the request spent at the owner, in ms.
   std::string policy_;
 };
 
-/// An answer that was given before.
+/// The recorded answer of a call that was already executed.
 struct replayed_answer {
   std::string answer_;
 };
 
-/// The owner's word on an open request.
+/// The owner's reply to an open_request.
 using open_reply = result<std::variant<dispatch_ticket, replayed_answer>>;
 
-/// The owner's word on a settlement: the answer that stands, if it is not the reported one.
+/// The owner's reply to a settlement: the recorded answer if it differs from the reported one.
 using settle_reply = result<replayed_answer>;
 
-/// A call that an upstream confirmed, with what a new owner needs to adopt it.
+/// Reports a call that an upstream accepted, with the data a new owner needs to adopt it.
 struct accepted_report {
   std::string account_;
   std::string program_;
@@ -60,7 +60,7 @@
   std::string upstream_;
 };
 
-/// A settlement with what only policies and metrics care about.
+/// A settlement with additional data for policies and metrics.
 struct settle_request {
   call_settlement report_;
   std::int64_t prompt_tokens_ = 0;
@@ -69,7 +69,7 @@
   bool last_ = false;  ///< The program ends with this call.
 };
 
-/// A request about a program as a whole.
+/// A request about a program.
 struct program_request {
   std::string account_;
   std::string program_;
--- a/birchlever/controllers/shard_controller.cpp
+++ b/birchlever/controllers/shard_controller.cpp
@@ -16,8 +16,8 @@
 namespace birchlever {
 namespace {
 
-constexpr auto tick_gap = std::chrono::milliseconds{50};
-constexpr auto ticket_memory_periods = 4;
+constexpr auto tick_interval = std::chrono::milliseconds{50};
+constexpr auto ticket_retention_periods = 4;
 
 }  // namespace
 
@@ -32,7 +32,7 @@
 auto shard_controller::make_behavior() -> caf::behavior {
   writer_ =
       spawn<shard_writer, caf::detached>(context_, shard_, validity_, caf::actor_cast<caf::actor>(this));
-  delayed_send(this, tick_gap, tick_atom::value);
+  delayed_send(this, tick_interval, tick_atom::value);
   return {
       [this](open_atom, const shared<open_request>& request) {
         auto promise = make_response_promise<shared<open_reply>>();
@@ -84,11 +84,11 @@
       [this](probe_atom, const shared<probe_message>& answer) { probed(*answer); },
       [this](tick_atom) {
         tick();
-        delayed_send(this, tick_gap, tick_atom::value);
+        delayed_send(this, tick_interval, tick_atom::value);
       },
       [this](stop_atom) {
         send(writer_, stop_atom::value);
-        writer_ = nullptr;  // Each holds the other; without this neither would ever be destroyed.
+        writer_ = nullptr;  // Breaks the reference cycle between controller and writer.
         quit();
       },
   };
@@ -112,7 +112,7 @@
   }
   auto known = tickets_.find(request->request_id_);
   if (known != tickets_.end()) {
-    give_ticket(request, promise, known->second.ticket_);  // The first answer was lost on its way.
+    issue_ticket(request, promise, known->second.ticket_);  // Retransmission: the first reply was lost.
     return;
   }
   const auto& order = request->order_;
@@ -120,12 +120,12 @@
   auto decision = ledger_->open(order, policy, context_->clock_->now());
   if (auto* ready = std::get_if<open_proceed>(&decision)) {
     proceed(request, promise, std::move(*ready));
-  } else if (const auto* answered = std::get_if<open_replay>(&decision)) {
-    replay(promise, answered->answer_, answered->location_);
-  } else if (const auto* pause = std::get_if<open_wait>(&decision)) {
-    wait(request, promise, pause->for_own_answer_);
-  } else if (const auto* question = std::get_if<open_resolve>(&decision)) {
-    resolve(request, promise, *question);
+  } else if (const auto* replayed = std::get_if<open_replay>(&decision)) {
+    replay(promise, replayed->answer_, replayed->location_);
+  } else if (const auto* waiting = std::get_if<open_wait>(&decision)) {
+    add_waiting(request, promise, waiting->for_own_answer_);
+  } else if (const auto* unresolved = std::get_if<open_resolve>(&decision)) {
+    resolve(request, promise, *unresolved);
   } else {
     context_->metrics_->count("owner_refusals_total");
     promise.deliver(make_open_reply(std::get<error>(decision)));
@@ -160,7 +160,7 @@
     ready.records_.push_back(*intent);
   }
   if (!ready.must_commit_) {
-    give_ticket(request, promise, ticket);
+    issue_ticket(request, promise, ticket);
     return;
   }
   commit(std::move(ready.records_), [this, request, promise, ticket](bool durable) mutable {
@@ -168,12 +168,12 @@
       promise.deliver(make_open_reply(not_owner()));
       return;
     }
-    give_ticket(request, promise, ticket);
+    issue_ticket(request, promise, ticket);
   });
 }
 
-auto shard_controller::give_ticket(const shared<open_request>& request, open_promise promise,
-                                   const dispatch_ticket& ticket) -> void {
+auto shard_controller::issue_ticket(const shared<open_request>& request, open_promise promise,
+                                    const dispatch_ticket& ticket) -> void {
   const auto& order = request->order_;
   if (!may_act()) {
     if (ledger_) {
@@ -185,8 +185,8 @@
     promise.deliver(make_open_reply(not_owner()));
     return;
   }
-  auto forget_at = context_->clock_->now() + ticket_memory_periods * context_->settings_.send_within_ms_;
-  tickets_[request->request_id_] = {ticket, forget_at};
+  auto expires_at = context_->clock_->now() + ticket_retention_periods * context_->settings_.send_within_ms_;
+  tickets_[request->request_id_] = {ticket, expires_at};
   promise.deliver(make_open_reply(ticket));
 }
 
@@ -208,17 +208,17 @@
   auto now = context_->clock_->now();
   auto known = ledger_->accepted(report.account_, report.program_, report.number_, report.sequence_);
   if (!known && report.epoch_ < epoch_) {
-    auto under_way =
+    auto in_flight =
         call_settlement{report.account_, report.program_, report.number_, report.epoch_, report.sequence_};
-    under_way.max_tokens_ = report.max_tokens_;
-    under_way.digest_ = report.digest_;
-    under_way.repeatable_ = report.repeatable_;
-    under_way.upstream_ = report.upstream_;
-    known = ledger_->adopt(under_way, now);
+    in_flight.max_tokens_ = report.max_tokens_;
+    in_flight.digest_ = report.digest_;
+    in_flight.repeatable_ = report.repeatable_;
+    in_flight.upstream_ = report.upstream_;
+    known = ledger_->adopt(in_flight, now);
     context_->metrics_->count("calls_adopted_total", known ? 1 : 0);
   }
   if (known) {
-    wake(report.account_, report.program_);
+    retry_waiting(report.account_, report.program_);
   }
 }
 
@@ -256,11 +256,11 @@
   auto settings = ledger_settings_of(context_->settings_);
   auto made = program_ledger::create(settings, message.epoch_);
   if (!ok(made)) {
-    log_failure(log_level::error, "ledger_refused", failure(made));
+    log_failure(log_level::error, "ledger_creation_failed", failure(made));
     return;
   }
   ledger_.emplace(std::move(value(made)));
-  auto loaded = ledger_->recover(message.found_, context_->clock_->now());
+  auto loaded = ledger_->recover(message.recovery_, context_->clock_->now());
   if (!ok(loaded)) {
     log_failure(log_level::error, "recovery_failed", failure(loaded));
     ledger_.reset();
@@ -285,8 +285,8 @@
   for (auto& batch : std::exchange(batches_, {})) {
     batch.then_(false);
   }
-  for (auto& [key, one] : std::exchange(waiting_, {})) {
-    one.promise_.deliver(make_open_reply(not_owner()));
+  for (auto& [key, waiting] : std::exchange(waiting_, {})) {
+    waiting.promise_.deliver(make_open_reply(not_owner()));
   }
   for (auto& [key, promises] : std::exchange(resolving_, {})) {
     for (auto& promise : promises) {
@@ -300,9 +300,9 @@
     return;
   }
   auto now = context_->clock_->now();
-  give_up_waiting();
+  expire_waiting();
   for (auto next = tickets_.begin(); next != tickets_.end();) {
-    next = now >= next->second.forget_at_ ? tickets_.erase(next) : std::next(next);
+    next = now >= next->second.expires_at_ ? tickets_.erase(next) : std::next(next);
   }
   auto records = ledger_->expire(now);
   if (!records.empty()) {
@@ -314,9 +314,9 @@
     swept_at_ = now;
     auto message = std::make_shared<sweep_message>();
     message->shard_ = shard_;
-    ledger_->each([&](const program& one) {
-      if (!one.ended_) {
-        message->live_sessions_.push_back(program_key(one.account_, one.id_));
+    ledger_->each([&](const program& entry) {
+      if (!entry.ended_) {
+        message->live_sessions_.push_back(program_key(entry.account_, entry.id_));
       }
     });
     send(upstream_worker_, sweep_atom::value, shared<sweep_message>{message});
--- a/birchlever/controllers/shard_controller.h
+++ b/birchlever/controllers/shard_controller.h
@@ -1,4 +1,4 @@
-/// The owner of one shard: it sequences the calls of the shard's programs while its lease is held.
+/// The owner of one shard: orders the calls of the shard's programs while its lease is valid.
 #pragma once
 
 #include <deque>
@@ -17,8 +17,8 @@
 
 struct daemon_context;
 
-/// An actor around the deterministic program_ledger. It answers a caller only when what the answer rests on
-/// is durable, and gives out no ticket unless the lease is held at that moment.
+/// An actor around the deterministic program_ledger. It replies only after the records that the reply depends
+/// on are durable, and issues tickets only while the lease is valid.
 class shard_controller final : public caf::event_based_actor {
  public:
   shard_controller(caf::actor_config& config, std::shared_ptr<daemon_context> context, int shard,
@@ -30,21 +30,21 @@
   using open_promise = caf::typed_response_promise<shared<open_reply>>;
   using settle_promise = caf::typed_response_promise<shared<settle_reply>>;
   using text_promise = caf::typed_response_promise<std::string>;
-  /// Runs when a batch is durable (true) or can no longer become so (false).
+  /// Called with true when a batch is durable, with false if it can no longer become durable.
   using continuation = std::function<void(bool)>;
 
-  /// A call that waits for the call before it or for its own answer.
+  /// A call that waits for its predecessor or for its own answer.
   struct waiting_call {
     shared<open_request> request_;
     open_promise promise_;
-    milliseconds give_up_at_ = 0;
+    milliseconds times_out_at_ = 0;
     milliseconds probe_at_ = 0;
     bool own_answer_ = false;
   };
 
   struct issued_ticket {
     dispatch_ticket ticket_;
-    milliseconds forget_at_ = 0;
+    milliseconds expires_at_ = 0;
   };
 
   struct open_batch {
@@ -56,16 +56,15 @@
   // Calls.
   auto open(const shared<open_request>& request, open_promise promise) -> void;
   auto proceed(const shared<open_request>& request, open_promise promise, open_proceed ready) -> void;
-  auto give_ticket(const shared<open_request>& request, open_promise promise, const dispatch_ticket& ticket)
+  auto issue_ticket(const shared<open_request>& request, open_promise promise, const dispatch_ticket& ticket)
       -> void;
   auto replay(open_promise promise, const std::string& answer, const answer_location& location) -> void;
-  auto wait(const shared<open_request>& request, open_promise promise, bool own_answer) -> void;
-  auto resolve(const shared<open_request>& request, open_promise promise, const open_resolve& question)
-      -> void;
+  auto add_waiting(const shared<open_request>& request, open_promise promise, bool own_answer) -> void;
+  auto resolve(const shared<open_request>& request, open_promise promise, const open_resolve& query) -> void;
   auto settle(const shared<settle_request>& request, settle_promise promise) -> void;
   auto accepted(const accepted_report& report) -> void;
-  auto wake(const std::string& account, const std::string& program) -> void;
-  auto give_up_waiting() -> void;
+  auto retry_waiting(const std::string& account, const std::string& program) -> void;
+  auto expire_waiting() -> void;
 
   // Programs.
   auto create_program(const program_request& request, text_promise promise) -> void;
@@ -84,9 +83,9 @@
   auto probed(const probe_message& answer) -> void;
 
   [[nodiscard]] auto may_act() const -> bool;
-  [[nodiscard]] auto probe_gap() const -> milliseconds;
+  [[nodiscard]] auto probe_interval() const -> milliseconds;
   [[nodiscard]] auto not_owner() const -> error;
-  auto note_prompt(const settle_request& request) -> void;
+  auto record_prompt(const settle_request& request) -> void;
   auto place(const open_request& request) -> result<dispatch_ticket>;
 
   std::shared_ptr<daemon_context> context_;
@@ -104,8 +103,8 @@
   bool snapshotting_ = false;
   std::multimap<std::string, waiting_call> waiting_;
   std::map<std::string, std::vector<open_promise>> resolving_;
-  std::map<std::string, issued_ticket> tickets_;  ///< By request id, while they may be asked for again.
-  std::map<std::string, placed> explanations_;    ///< Newest choice per program.
+  std::map<std::string, issued_ticket> tickets_;  ///< By request id, until they expire.
+  std::map<std::string, placed> explanations_;    ///< Latest placement by program.
   milliseconds swept_at_ = 0;
   bool sweep_now_ = false;
 };
--- a/birchlever/controllers/shard_placement.cpp
+++ b/birchlever/controllers/shard_placement.cpp
@@ -14,9 +14,9 @@
 
 using nlohmann::json;
 
-auto wish_of(const open_request& request, const program& owner) -> placement {
-  auto wish = placement{};
-  auto& call = wish.call_;
+auto placement_criteria(const open_request& request, const program& owner) -> placement {
+  auto criteria = placement{};
+  auto& call = criteria.call_;
   call.program_ = owner.id_;
   call.model_ = request.model_;
   call.data_hall_ = request.data_hall_;
@@ -27,17 +27,17 @@
   call.deadline_ms_ = request.order_.deadline_;
   call.account_share_ = request.account_share_;
   call.avoid_ = request.avoid_;
-  wish.service_ = request.service_;
-  wish.prefix_hashes_ = request.prefix_hashes_;
-  wish.last_upstream_ = owner.last_upstream_;
-  wish.last_prefix_tokens_ = owner.prompt_tokens_;
-  return wish;
+  criteria.service_ = request.service_;
+  criteria.prefix_hashes_ = request.prefix_hashes_;
+  criteria.last_upstream_ = owner.last_upstream_;
+  criteria.last_prefix_tokens_ = owner.prompt_tokens_;
+  return criteria;
 }
 
-auto ask_shadows(daemon_context& context, const placement& wish, const std::string& chosen, milliseconds now)
-    -> void {
+auto evaluate_shadows(daemon_context& context, const placement& criteria, const std::string& chosen,
+                      milliseconds now) -> void {
   for (const auto& [name, policy] : context.policies_->shadows()) {
-    auto shadow = context.upstreams_->choose(*policy, wish, now);
+    auto shadow = context.upstreams_->choose(*policy, criteria, now);
     auto agrees = ok(shadow) && value(shadow).upstream_.id_ == chosen;
     context.comparison_->update(name, [agrees](policy_record& record) {
       ++record.shadow_decisions_;
@@ -51,9 +51,9 @@
 auto place_call(daemon_context& context, const open_request& request, const program& owner)
     -> result<placed_call> {
   auto now = context.clock_->now();
-  auto wish = wish_of(request, owner);
+  auto criteria = placement_criteria(request, owner);
   auto policy = context.policies_->find(owner.policy_);
-  auto choice = context.upstreams_->choose(*policy, wish, now);
+  auto choice = context.upstreams_->choose(*policy, criteria, now);
   if (!ok(choice)) {
     context.comparison_->update(owner.policy_, [](policy_record& record) { ++record.refusals_; });
     return failure(choice);
@@ -66,7 +66,7 @@
   made.ticket_.send_within_ = context.settings_.send_within_ms_;
   made.ticket_.policy_ = owner.policy_;
   if (request.service_.empty()) {
-    ask_shadows(context, wish, chosen.upstream_.id_, now);
+    evaluate_shadows(context, criteria, chosen.upstream_.id_, now);
     context.upstreams_->sent(chosen.upstream_.id_, request.prefix_hashes_, now);
   }
   made.choice_ = std::move(chosen);
@@ -75,12 +75,12 @@
 
 auto explain(const std::string& policy, const placed& choice) -> std::string {
   auto rows = json::array();
-  for (const auto& one : choice.explained_) {
-    rows.push_back({{"engine", one.engine_},
-                    {"cost", one.terms_.cost_},
-                    {"wait_ms", one.terms_.wait_ms_},
-                    {"compute_ms", one.terms_.compute_ms_},
-                    {"waste_ms", one.terms_.waste_ms_}});
+  for (const auto& candidate : choice.explained_) {
+    rows.push_back({{"engine", candidate.engine_},
+                    {"cost", candidate.terms_.cost_},
+                    {"wait_ms", candidate.terms_.wait_ms_},
+                    {"compute_ms", candidate.terms_.compute_ms_},
+                    {"waste_ms", candidate.terms_.waste_ms_}});
   }
   return json{{"policy", policy},
               {"choice", choice.upstream_.id_},
@@ -102,7 +102,8 @@
   auto complete = value(segment) &&
                   value(segment)->size() >= static_cast<std::size_t>(location.offset_ + location.length_);
   if (!complete) {
-    return error{error_code::store_unavailable, "history segment is missing", ran_state::ran, 1000};
+    return error{error_code::store_unavailable, "answer segment is missing or truncated", ran_state::ran,
+                 1000};
   }
   return value(segment)->substr(static_cast<std::size_t>(location.offset_),
                                 static_cast<std::size_t>(location.length_));
--- a/birchlever/controllers/shard_placement.h
+++ b/birchlever/controllers/shard_placement.h
@@ -1,4 +1,4 @@
-/// Helpers of a shard's owner that need no state of their own: where a call goes, where an answer is.
+/// Stateless helpers of a shard's owner for placing calls and reading answers.
 #pragma once
 
 #include <string>
@@ -11,24 +11,24 @@
 
 struct daemon_context;
 
-/// A placed call and why it was placed so.
+/// A placed call and the details of its placement.
 struct placed_call {
   dispatch_ticket ticket_;
   placed choice_;
 };
 
-/// A choice as JSON: the best candidates with their terms, and which was taken.
+/// Returns a placement as JSON: the best candidates with their cost terms, and the chosen upstream.
 [[nodiscard]] auto explain(const std::string& policy, const placed& choice) -> std::string;
 
-/// Asks the program's policy for an upstream, and the shadow policies beside it.
+/// Chooses an upstream with the program's policy, and evaluates the shadow policies for comparison.
 [[nodiscard]] auto place_call(daemon_context& context, const open_request& request, const program& owner)
     -> result<placed_call>;
 
-/// An answer's text, from memory or from its segment object.
+/// Returns an answer's text, from memory or from its segment object.
 [[nodiscard]] auto read_answer(daemon_context& context, const std::string& answer,
                                const answer_location& location) -> result<std::string>;
 
-/// The ledger's limits from a daemon's settings.
+/// Returns the ledger's limits from a daemon's settings.
 [[nodiscard]] auto ledger_settings_of(const daemon_settings& settings) -> ledger_settings;
 
 }  // namespace birchlever
--- a/birchlever/controllers/shard_programs.cpp
+++ b/birchlever/controllers/shard_programs.cpp
@@ -1,4 +1,4 @@
-/// The part of shard_controller that settles calls and looks after programs as a whole.
+/// The parts of shard_controller that settle calls and manage programs.
 #include <nlohmann/json.hpp>
 
 #include "birchlever/controllers/daemon_context.h"
@@ -44,7 +44,7 @@
     promise.deliver(make_settle_reply(failure(decided)));
     return;
   }
-  note_prompt(*request);
+  record_prompt(*request);
   auto decision = std::move(value(decided));
   auto reply = settle_reply{replayed_answer{}};
   if (decision.replay_) {
@@ -65,7 +65,7 @@
     } else if (owner->ended_) {
       release_memory(*owner);
     }
-    wake(report.account_, report.program_);
+    retry_waiting(report.account_, report.program_);
     promise.deliver(make_settle_reply(reply));
     return;
   }
@@ -88,11 +88,11 @@
     }
   }
   if (settled) {
-    wake(record.account_, record.program_);
+    retry_waiting(record.account_, record.program_);
   }
 }
 
-auto shard_controller::note_prompt(const settle_request& request) -> void {
+auto shard_controller::record_prompt(const settle_request& request) -> void {
   const auto& report = request.report_;
   auto answered = report.outcome_ == call_outcome::answered;
   auto now = context_->clock_->now();
@@ -102,8 +102,8 @@
     return;
   }
   auto moved = !owner->last_upstream_.empty() && owner->last_upstream_ != report.upstream_;
-  auto could_hold = std::min(owner->prompt_tokens_, request.prompt_tokens_);
-  auto recomputed = std::max<std::int64_t>(0, could_hold - request.cached_tokens_);
+  auto reusable = std::min(owner->prompt_tokens_, request.prompt_tokens_);
+  auto recomputed = std::max<std::int64_t>(0, reusable - request.cached_tokens_);
   context_->comparison_->update(owner->policy_, [&](policy_record& record) {
     ++record.calls_;
     record.prompt_tokens_ += request.prompt_tokens_;
@@ -209,28 +209,28 @@
     return list.dump();
   }
   auto now = context_->clock_->now();
-  ledger_->each([&](const program& one) {
+  ledger_->each([&](const program& entry) {
     if (kind == "programs") {
-      auto explained = explanations_.find(program_key(one.account_, one.id_));
-      list.push_back(
-          {{"program", one.id_},
-           {"account", one.account_},
-           {"policy", one.policy_},
-           {"shard", shard_},
-           {"daemon", context_->daemon_id_},
-           {"calls", static_cast<std::int64_t>(one.calls_.size())},
-           {"budget", one.budget_.budget()},
-           {"spent", one.budget_.settled()},
-           {"held", one.budget_.held()},
-           {"ended", one.ended_},
-           {"upstream", one.last_upstream_},
-           {"idle_ms", now - one.last_active_},
-           {"explanation", explained == explanations_.end() ? "" : explain(one.policy_, explained->second)}});
+      auto explained = explanations_.find(program_key(entry.account_, entry.id_));
+      list.push_back({{"program", entry.id_},
+                      {"account", entry.account_},
+                      {"policy", entry.policy_},
+                      {"shard", shard_},
+                      {"daemon", context_->daemon_id_},
+                      {"calls", static_cast<std::int64_t>(entry.calls_.size())},
+                      {"budget", entry.budget_.budget()},
+                      {"spent", entry.budget_.settled()},
+                      {"held", entry.budget_.held()},
+                      {"ended", entry.ended_},
+                      {"upstream", entry.last_upstream_},
+                      {"idle_ms", now - entry.last_active_},
+                      {"explanation",
+                       explained == explanations_.end() ? "" : explain(entry.policy_, explained->second)}});
     }
     if (kind == "calls") {
-      for (const auto& [number, call] : one.calls_) {
-        list.push_back({{"program", one.id_},
-                        {"account", one.account_},
+      for (const auto& [number, call] : entry.calls_) {
+        list.push_back({{"program", entry.id_},
+                        {"account", entry.account_},
                         {"call", number},
                         {"phase", phase_name(call.phase_)},
                         {"upstream", call.upstream_},
@@ -264,26 +264,27 @@
   }
   if (!answer.service_ && answer.outcome_ == probe_outcome::gone) {
     const auto* owner = ledger_->find(answer.account_, answer.program_);
-    auto same = owner != nullptr && owner->calls_.count(answer.number_) != 0 &&
-                owner->calls_.at(answer.number_).sequence_ == answer.sequence_;
-    if (same) {
+    auto is_current = owner != nullptr && owner->calls_.count(answer.number_) != 0 &&
+                      owner->calls_.at(answer.number_).sequence_ == answer.sequence_;
+    if (is_current) {
       commit(ledger_->abandon(answer.account_, answer.program_, answer.number_), [](bool) {});
     }
   }
-  auto asking = resolving_.find(answer.key_);
-  if (asking == resolving_.end()) {
+  auto waiting = resolving_.find(answer.key_);
+  if (waiting == resolving_.end()) {
     return;
   }
-  auto promises = std::move(asking->second);
-  resolving_.erase(asking);
+  auto promises = std::move(waiting->second);
+  resolving_.erase(waiting);
   for (auto& promise : promises) {
     if (answer.outcome_ == probe_outcome::executed) {
       promise.deliver(make_open_reply(replayed_answer{answer.answer_}));
       continue;
     }
-    auto refusal = error{error_code::outcome_unknown,
-                         "the call may have run and its upstream cannot tell; it is not sent again",
-                         ran_state::outcome_unknown};
+    auto refusal =
+        error{error_code::outcome_unknown,
+              "the call may have run and its upstream does not know the outcome; it is not retried",
+              ran_state::outcome_unknown};
     promise.deliver(make_open_reply(refusal));
   }
 }
--- a/birchlever/controllers/shard_replies.h
+++ b/birchlever/controllers/shard_replies.h
@@ -1,4 +1,4 @@
-/// Small helpers that the parts of shard_controller share.
+/// Helpers shared by the parts of shard_controller.
 #pragma once
 
 #include <memory>
@@ -8,15 +8,15 @@
 
 namespace birchlever {
 
-/// When a caller may ask again while its owner or its turn is changing, in ms.
+/// Retry hint for callers while a shard's owner changes or a call's turn is pending, in ms.
 inline constexpr auto owner_retry_ms = std::int64_t{300};
 
-/// A program's name across accounts, also its session's name at the engines.
+/// Returns a program's key across accounts; engines use it as session name.
 [[nodiscard]] inline auto program_key(const std::string& account, const std::string& program) -> std::string {
   return account + "/" + program;
 }
 
-/// An owner's word as the actors pass it on.
+/// Wraps an owner's reply for actor messages.
 [[nodiscard]] inline auto make_open_reply(open_reply reply) -> shared<open_reply> {
   return std::make_shared<open_reply>(std::move(reply));
 }
--- a/birchlever/controllers/shard_set.h
+++ b/birchlever/controllers/shard_set.h
@@ -1,4 +1,4 @@
-/// The shards of this daemon, asked from threads that may block.
+/// Blocking access to the shards of this daemon.
 #pragma once
 
 #include <memory>
@@ -14,7 +14,7 @@
 
 namespace birchlever {
 
-/// Thread safe. Each call waits for its shard's answer; a shard that does not answer gives a typed failure.
+/// Thread safe. Each call waits for the shard's reply; a shard that does not reply in time yields a failure.
 class shard_set {
  public:
   shard_set(caf::actor_system& system, const std::vector<caf::actor>& shards);
@@ -24,16 +24,16 @@
   [[nodiscard]] auto settle(int shard, settle_request request, milliseconds wait) -> settle_reply;
   auto accepted(int shard, accepted_report report) -> void;
 
-  /// The answers are JSON: the program, or an error.
+  /// Requests about a program. The responses are JSON: the program, or an error.
   [[nodiscard]] auto create_program(int shard, program_request request) -> result<std::string>;
   [[nodiscard]] auto end_program(int shard, program_request request, const std::string& reason)
       -> result<std::string>;
   [[nodiscard]] auto history(int shard, program_request request) -> result<std::string>;
 
-  /// Rows of a kind ("programs", "calls", "shards") of all shards held here, as one JSON list.
+  /// Returns rows of a kind ("programs", "calls", "shards") of all local shards as one JSON array.
   [[nodiscard]] auto rows(const std::string& kind) -> std::string;
 
-  /// Gives one shard over to another daemon; everyone learns of it from the lease row.
+  /// Hands a shard over to another daemon; others learn the new owner from the lease row.
   auto hand_over(int shard, const std::string& successor) -> void;
 
   [[nodiscard]] auto count() const -> int;
--- a/birchlever/controllers/shard_writer.cpp
+++ b/birchlever/controllers/shard_writer.cpp
@@ -38,7 +38,7 @@
   return {
       [this](observed_atom, const shared<observed_message>& observed) { observe(*observed); },
       [this](tick_atom) {
-        keep_lease();
+        maintain_lease();
         auto gap = context_->settings_.lease_renew_ms_ / ticks_per_renewal;
         delayed_send(this, std::chrono::milliseconds{std::max<std::int64_t>(10, gap)}, tick_atom::value);
       },
@@ -53,7 +53,7 @@
   };
 }
 
-auto shard_writer::publish() -> void {
+auto shard_writer::publish_validity() -> void {
   validity_->until_ = lease_->valid_until();
   validity_->held_ = lease_->held();
 }
@@ -65,7 +65,7 @@
   ready_to_own_ = rank_ >= 0;
   context_->fleet_->set_claim(shard_, lease_->claim());
   if (was_held && !lease_->holding()) {
-    lose("another process holds the lease");
+    drop_shard("another process holds the lease");
     return;
   }
   if (!was_held) {
@@ -73,7 +73,7 @@
   }
 }
 
-auto shard_writer::keep_lease() -> void {
+auto shard_writer::maintain_lease() -> void {
   if (!journal_) {
     try_take_over();
     return;
@@ -85,19 +85,19 @@
       context_->metrics_->count("lease_renewal_failures_total");
     }
   }
-  publish();
+  publish_validity();
   if (!lease_->held()) {
-    lose("lease ran out");
+    drop_shard("lease expired");
   }
 }
 
 auto shard_writer::try_take_over() -> void {
-  // A stopping daemon takes a shard only to settle its own last calls, as when the whole fleet stops at once.
+  // A stopping daemon takes over a shard only to settle its own last calls, e.g. when the entire fleet stops.
   auto leaving = context_->stopping_ && context_->calls_in_flight_ == 0;
   if (!ready_to_own_ || leaving || !lease_->free_for(rank_)) {
     return;
   }
-  auto began = context_->clock_->now();
+  auto started_at = context_->clock_->now();
   auto acquired = lease_->acquire();
   if (!ok(acquired)) {
     return;
@@ -115,28 +115,28 @@
     found = journal_->recover();
   }
   if (!ok(found)) {
-    lose("recovery did not finish within the lease");
+    drop_shard("recovery did not finish within the lease");
     return;
   }
-  publish();
+  publish_validity();
   auto recovered = std::make_shared<recovered_message>();
   recovered->epoch_ = lease_->epoch();
-  recovered->found_ = std::move(value(found));
-  recovered->took_ms_ = context_->clock_->now() - began;
+  recovered->recovery_ = std::move(value(found));
+  recovered->took_ms_ = context_->clock_->now() - started_at;
   context_->fleet_->set_claim(shard_, lease_->claim());
   context_->metrics_->count("takeovers_total");
-  log_event(log_level::info, "shard_taken",
+  log_event(log_level::info, "shard_taken_over",
             {{"shard", std::int64_t{shard_}},
              {"epoch", lease_->epoch()},
-             {"rows", recovered->found_.rows_},
-             {"reads", recovered->found_.reads_},
+             {"rows", recovered->recovery_.rows_},
+             {"reads", recovered->recovery_.reads_},
              {"took_ms", recovered->took_ms_}});
   send(controller_, recovered_atom::value, shared<recovered_message>{recovered});
 }
 
 auto shard_writer::append(const append_message& message) -> void {
   if (!journal_) {
-    return;  // The controller hears that the shard is lost and refuses what waited.
+    return;  // The controller is notified of the loss and fails the waiting calls.
   }
   pending_.insert(pending_.end(), message.records_.begin(), message.records_.end());
   pending_batch_ = message.batch_;
@@ -164,22 +164,23 @@
   auto batch = std::exchange(pending_batch_, 0);
   auto records = std::exchange(pending_, {});
   if (!records.empty()) {
-    auto began = context_->clock_->now();
-    committed_at_ = began;
-    auto keep = [this] {
+    auto started_at = context_->clock_->now();
+    committed_at_ = started_at;
+    auto renew_lease = [this] {
       if (lease_->renewal_due()) {
         (void)lease_->renew();
-        publish();
+        publish_validity();
       }
       return lease_->held();
     };
-    auto outcome = journal_->commit(records, keep);
+    auto outcome = journal_->commit(records, renew_lease);
     if (!ok(outcome)) {
       log_failure(log_level::warning, "journal_commit_failed", failure(outcome));
-      lose("journal could not be written");
+      drop_shard("journal write failed");
       return;
     }
-    context_->metrics_->observe("journal_commit_ms", static_cast<double>(context_->clock_->now() - began));
+    context_->metrics_->observe("journal_commit_ms",
+                                static_cast<double>(context_->clock_->now() - started_at));
     context_->metrics_->count("journal_commits_total");
     context_->metrics_->count("journal_records_total", static_cast<std::int64_t>(records.size()));
   }
@@ -214,10 +215,10 @@
   if (!ok(released)) {
     log_failure(log_level::warning, "lease_release_failed", failure(released));
   }
-  lose("handed over");
+  drop_shard("handed over");
 }
 
-auto shard_writer::lose(const char* reason) -> void {
+auto shard_writer::drop_shard(const char* reason) -> void {
   validity_->held_ = false;
   validity_->until_ = 0;
   journal_.reset();
--- a/birchlever/controllers/shard_writer.h
+++ b/birchlever/controllers/shard_writer.h
@@ -1,4 +1,4 @@
-/// The part of a shard that talks to the store: its lease and its journal.
+/// The store access of a shard: its lease and its journal.
 #pragma once
 
 #include <memory>
@@ -11,8 +11,8 @@
 
 struct daemon_context;
 
-/// A detached actor, since the store blocks. One per shard, so that a slow write of one shard holds up no
-/// other. Commits that arrive while one is under way go out together with the next.
+/// A detached actor, since store calls block. One per shard, so that a slow write does not delay other
+/// shards. Records that arrive during a commit are written together by the next one.
 class shard_writer final : public caf::event_based_actor {
  public:
   shard_writer(caf::actor_config& config, std::shared_ptr<daemon_context> context, int shard,
@@ -22,15 +22,15 @@
 
  private:
   auto observe(const observed_message& observed) -> void;
-  auto keep_lease() -> void;
+  auto maintain_lease() -> void;
   auto try_take_over() -> void;
   auto append(const append_message& message) -> void;
   auto schedule_flush() -> void;
   auto flush() -> void;
   auto write_snapshot(const std::shared_ptr<const journal_snapshot>& snapshot) -> void;
   auto hand_over(const std::string& successor) -> void;
-  auto lose(const char* reason) -> void;
-  auto publish() -> void;
+  auto drop_shard(const char* reason) -> void;
+  auto publish_validity() -> void;
 
   std::shared_ptr<daemon_context> context_;
   int shard_ = 0;
--- a/birchlever/controllers/upstream_watch.cpp
+++ b/birchlever/controllers/upstream_watch.cpp
@@ -16,7 +16,7 @@
 
 using nlohmann::json;
 
-constexpr auto rounds_per_look = 2;
+constexpr auto rounds_per_control_poll = 2;
 
 auto to_json(const load_report& report) -> json {
   return {{"e", report.engine_},   {"r", report.running_},       {"q", report.queued_},
@@ -44,11 +44,11 @@
   try {
     auto body = json::parse(views);
     auto now = context.clock_->now();
-    for (const auto& one : body) {
-      context.upstreams_->report(report_from_json(one), now);
+    for (const auto& entry : body) {
+      context.upstreams_->report(report_from_json(entry), now);
     }
   } catch (const json::exception& fault) {
-    return error{error_code::malformed_json, std::string{"shared views are not readable: "} + fault.what()};
+    return error{error_code::malformed_json, std::string{"malformed shared views: "} + fault.what()};
   }
   return success;
 }
@@ -61,38 +61,38 @@
   send(this, tick_atom::value);
   return {
       [this](tick_atom) {
-        round();
-        auto gap = std::max<std::int64_t>(50, context_->settings_.poll_ms_ / rounds_per_look);
+        poll_engines();
+        auto gap = std::max<std::int64_t>(50, context_->settings_.poll_ms_ / rounds_per_control_poll);
         delayed_send(this, std::chrono::milliseconds{gap}, tick_atom::value);
       },
       [this](stop_atom) { quit(); },
   };
 }
 
-auto upstream_watch::engines_to_ask(const std::vector<std::string>& owners) const
+auto upstream_watch::engines_to_poll(const std::vector<std::string>& owners) const
     -> std::vector<std::string> {
   auto engines = std::vector<std::string>{};
   for (const auto& entry : *context_->fleet_->vms()) {
     if (entry.kind_ != vm_kind::engine) {
       continue;
     }
-    auto asker = std::max_element(owners.begin(), owners.end(), [&](const auto& left, const auto& right) {
+    auto poller = std::max_element(owners.begin(), owners.end(), [&](const auto& left, const auto& right) {
       return rendezvous_weight(left, entry.id_) < rendezvous_weight(right, entry.id_);
     });
-    if (asker != owners.end() && *asker == context_->peer_address_) {
+    if (poller != owners.end() && *poller == context_->peer_address_) {
       engines.push_back(entry.id_);
     }
   }
   return engines;
 }
 
-auto upstream_watch::ask(const std::string& engine) -> bool {
+auto upstream_watch::poll_engine(const std::string& engine) -> bool {
   auto entry = context_->fleet_->find_vm(engine);
   if (!entry) {
     return false;
   }
-  auto answer = context_->upstream_pool_->request(entry->address_, "GET", "/load", "");
-  auto body = ok(answer) ? json::parse(value(answer).body_, nullptr, false) : json{};
+  auto response = context_->upstream_pool_->request(entry->address_, "GET", "/load", "");
+  auto body = ok(response) ? json::parse(value(response).body_, nullptr, false) : json{};
   if (!body.is_object()) {
     context_->metrics_->count("load_report_failures_total");
     return false;
@@ -111,22 +111,22 @@
   return true;
 }
 
-auto upstream_watch::round() -> void {
+auto upstream_watch::poll_engines() -> void {
   auto owners = context_->fleet_->owners();
   if (std::find(owners.begin(), owners.end(), context_->peer_address_) == owners.end()) {
     return;
   }
-  auto heard = std::vector<std::string>{};
-  for (const auto& engine : engines_to_ask(owners)) {
-    if (ask(engine)) {
-      heard.push_back(engine);
+  auto polled = std::vector<std::string>{};
+  for (const auto& engine : engines_to_poll(owners)) {
+    if (poll_engine(engine)) {
+      polled.push_back(engine);
     }
   }
-  if (heard.empty() || owners.size() < 2) {
+  if (polled.empty() || owners.size() < 2) {
     return;
   }
   auto views = json::array();
-  for (const auto& report : context_->upstreams_->reports_of(heard)) {
+  for (const auto& report : context_->upstreams_->reports_of(polled)) {
     views.push_back(to_json(report));
   }
   auto text = views.dump();
--- a/birchlever/controllers/upstream_worker.cpp
+++ b/birchlever/controllers/upstream_worker.cpp
@@ -24,9 +24,9 @@
 
 auto upstream_worker::make_behavior() -> caf::behavior {
   return {
-      [this](probe_atom, const shared<probe_message>& question) {
-        auto asker = caf::actor_cast<caf::actor>(current_sender());
-        send(asker, probe_atom::value, probe(*question));
+      [this](probe_atom, const shared<probe_message>& query) {
+        auto requester = caf::actor_cast<caf::actor>(current_sender());
+        send(requester, probe_atom::value, probe(*query));
       },
       [this](release_atom, const std::string& upstream, const std::string& session) {
         if (!release(upstream, session)) {
@@ -38,14 +38,14 @@
   };
 }
 
-auto upstream_worker::probe(const probe_message& question) -> shared<probe_message> {
-  auto answer = std::make_shared<probe_message>(question);
-  auto upstream = context_->fleet_->find_vm(question.upstream_);
+auto upstream_worker::probe(const probe_message& query) -> shared<probe_message> {
+  auto answer = std::make_shared<probe_message>(query);
+  auto upstream = context_->fleet_->find_vm(query.upstream_);
   if (!upstream) {
-    answer->outcome_ = question.service_ ? probe_outcome::unknown : probe_outcome::gone;
+    answer->outcome_ = query.service_ ? probe_outcome::unknown : probe_outcome::gone;
     return answer;
   }
-  if (question.service_) {
+  if (query.service_) {
     probe_service(upstream->address_, *answer);
   } else {
     probe_engine(upstream->address_, *answer);
@@ -53,36 +53,36 @@
   return answer;
 }
 
-auto upstream_worker::probe_engine(const endpoint& target, probe_message& question) -> void {
-  auto body = json{{"key", question.key_}, {"fence", question.sequence_}}.dump();
+auto upstream_worker::probe_engine(const endpoint& target, probe_message& query) -> void {
+  auto body = json{{"key", query.key_}, {"fence", query.sequence_}}.dump();
   auto answer = context_->upstream_pool_->request(target, "POST", "/v1/calls/state", body);
   if (!ok(answer)) {
     auto refused = failure(answer).code_ == error_code::upstream_refused;
-    question.outcome_ = refused ? probe_outcome::gone : probe_outcome::unknown;
+    query.outcome_ = refused ? probe_outcome::gone : probe_outcome::unknown;
     return;
   }
   auto state = json::parse(value(answer).body_, nullptr, false);
   auto name = state.is_object() ? state.value("state", "") : std::string{};
-  question.outcome_ = name == "running" ? probe_outcome::running : probe_outcome::gone;
+  query.outcome_ = name == "running" ? probe_outcome::running : probe_outcome::gone;
 }
 
-auto upstream_worker::probe_service(const endpoint& target, probe_message& question) -> void {
-  auto body = json{{"key", question.key_}}.dump();
+auto upstream_worker::probe_service(const endpoint& target, probe_message& query) -> void {
+  auto body = json{{"key", query.key_}}.dump();
   auto answer = context_->upstream_pool_->request(target, "POST", "/v1/executions/state", body);
   if (!ok(answer) || value(answer).status_ != 200) {
     return;
   }
   auto state = json::parse(value(answer).body_, nullptr, false);
   if (state.is_object() && state.value("state", "") == "executed") {
-    question.outcome_ = probe_outcome::executed;
-    question.answer_ = state.value("answer", "");
+    query.outcome_ = probe_outcome::executed;
+    query.answer_ = state.value("answer", "");
   }
 }
 
 auto upstream_worker::release(const std::string& upstream, const std::string& session) -> bool {
   auto entry = context_->fleet_->find_vm(upstream);
   if (!entry || entry->kind_ != vm_kind::engine) {
-    return true;  // Gone from the list: its memory went with it.
+    return true;  // Its memory is gone with the engine.
   }
   auto body = json{{"session", session}}.dump();
   auto answer = context_->upstream_pool_->request(entry->address_, "POST", "/v1/sessions/release", body);
@@ -108,8 +108,8 @@
     if (!body.is_object() || !body.contains("sessions")) {
       continue;
     }
-    for (const auto& held : body["sessions"]) {
-      auto session = held.get<std::string>();
+    for (const auto& listed : body["sessions"]) {
+      auto session = listed.get<std::string>();
       auto slash = session.find('/');
       auto ours = slash != std::string::npos && shard_of(session.substr(0, slash), session.substr(slash + 1),
                                                          context_->fleet_->shard_count()) == live.shard_;
