--- a/birchlever/controllers/allotment_messages.h
+++ b/birchlever/controllers/allotment_messages.h
@@ -1,4 +1,4 @@
-/// What daemons say to each other about allotments, and its bytes.
+/// Datagrams that daemons exchange about account allotments, and their encoding.
 #pragma once
 
 #include <cstdint>
@@ -11,36 +11,35 @@
 
 namespace birchlever {
 
-/// Asks for one request's place. The limit itself is the grantor's to know.
-struct allotment_ask {
-  std::uint64_t number_ = 0;  ///< Names the ask; a repeated one is answered alike.
+/// Requests a slot in an account's allotment. The grantor applies its own configured limit.
+struct allotment_request {
+  std::uint64_t number_ = 0;  ///< Request id; a retransmission gets the same reply.
   std::string account_;
-  bool begins_program_ = false;
+  bool starts_program_ = false;
   double program_requests_ = 1;
   milliseconds program_ms_ = 0;
-  double granted_alone_ =
-      0;  ///< Requests that the asker granted by itself while nobody answered, untold yet.
+  double granted_without_grantor_ = 0;  ///< Granted by the sender while no grantor replied, not reported yet.
 };
 
-/// The answer to an ask.
-struct allotment_answer {
+/// The reply to an allotment_request.
+struct allotment_reply {
   std::uint64_t number_ = 0;
-  bool known_ = false;  ///< The account has a limit where it was asked.
-  allotment_verdict verdict_;
+  bool has_limit_ = false;  ///< The account has a limit in the grantor's configuration.
+  allotment_verdict decision_;
 };
 
-/// So many were granted by a daemon that stands in for the one told.
+/// Reports requests that a backup grantor granted, so that the primary grantor deducts them.
 struct allotment_debit {
   std::string account_;
   double tokens_ = 0;
 };
 
-using allotment_message = std::variant<allotment_ask, allotment_answer, allotment_debit>;
+using allotment_message = std::variant<allotment_request, allotment_reply, allotment_debit>;
 
-/// The bytes of a message.
+/// Encodes a message as CBOR.
 [[nodiscard]] auto encode(const allotment_message& message) -> std::string;
 
-/// Reads a message. Failures: malformed_json.
+/// Decodes a message. Failures: malformed_json.
 [[nodiscard]] auto decode_allotment_message(std::string_view bytes) -> result<allotment_message>;
 
 }  // namespace birchlever
--- a/birchlever/controllers/budget_transfer.cpp
+++ b/birchlever/controllers/budget_transfer.cpp
@@ -13,16 +13,17 @@
 namespace birchlever {
 namespace {
 
-// /budget/PROGRAM/TOKENS/ASKER/HOLDER, the last may be empty. Answered with lines: the tokens, then daemons.
+// /budget/PROGRAM/TOKENS/REQUESTER/HOLDER; HOLDER may be empty. Response: a line with the tokens, then a line
+// for each daemon that received tokens.
 constexpr auto path = std::string_view{"/budget/"};
-constexpr auto incarnation_sign = '@';
-// /allowance/PROGRAM/TOKENS. Answered likewise.
+constexpr auto incarnation_separator = '@';
+// /allowance/PROGRAM/TOKENS. Same response format.
 constexpr auto allowance_path = std::string_view{"/allowance/"};
-// /lease/PROGRAM/RESERVATION/HOLDER. Answered with 200 when it was given away, else 410.
+// /lease/PROGRAM/RESERVATION/HOLDER. Response: 200 if the reservation was transferred, else 410.
 constexpr auto lease_path = std::string_view{"/lease/"};
-constexpr auto most_answer = std::size_t{8192};  // A number and some daemons.
+constexpr auto max_response_bytes = std::size_t{8192};
 
-/// The parts of a path behind its prefix.
+/// Returns the segments of a path after its prefix.
 auto parts_of(std::string_view target, std::string_view prefix) -> std::vector<std::string> {
   auto parts = std::vector<std::string>{};
   auto text = std::istringstream{std::string{target.substr(prefix.size())} + "/"};
@@ -32,15 +33,15 @@
   return parts;
 }
 
-auto answer_text(const handed_tokens& handed) -> std::string {
-  auto text = std::to_string(handed.tokens_) + "\n";
-  for (const auto& daemon : handed.moved_to_) {
+auto format_response(const handed_tokens& transferred) -> std::string {
+  auto text = std::to_string(transferred.tokens_) + "\n";
+  for (const auto& daemon : transferred.moved_to_) {
     text += daemon + "\n";
   }
   return text;
 }
 
-auto read_answer(const std::string& body) -> std::optional<handed_tokens> {
+auto parse_response(const std::string& body) -> std::optional<handed_tokens> {
   auto text = std::istringstream{body};
   auto line = std::string{};
   std::getline(text, line);
@@ -48,22 +49,22 @@
   if (!tokens) {
     return std::nullopt;
   }
-  auto handed = handed_tokens{*tokens};
+  auto transferred = handed_tokens{*tokens};
   while (std::getline(text, line)) {
-    handed.moved_to_.push_back(line);
+    transferred.moved_to_.push_back(line);
   }
-  return handed;
+  return transferred;
 }
 
 }  // namespace
 
-/// One question to several peers.
-struct budget_transfer::round {
-  explicit round(event_loop& loop) : answered_{loop} {}
+/// A query sent to several peers.
+struct budget_transfer::peer_query {
+  explicit peer_query(event_loop& loop) : reply_received_{loop} {}
 
-  int open_ = 0;
-  handed_tokens handed_;
-  loop_signal answered_;
+  int pending_ = 0;
+  handed_tokens received_;
+  loop_signal reply_received_;
 };
 
 budget_transfer::budget_transfer(event_loop& loop, const budget_transfer_settings& settings,
@@ -81,15 +82,15 @@
 auto budget_transfer::ask(std::string program_key, std::vector<std::string> holders, std::int64_t tokens)
     -> task<handed_tokens> {
   auto self = shared_from_this();
-  auto asked = std::make_shared<round>(*loop_);
+  auto query = std::make_shared<peer_query>(*loop_);
   auto addresses = addresses_();
   auto prefix =
       std::string{path} + program_key + "/" + std::to_string(tokens) + "/" + settings_.daemon_ + "/";
   auto calls = std::vector<std::pair<std::string, std::string>>{};  // Address and target.
   for (const auto& holder : holders) {
-    auto found = addresses.find(holder.substr(0, holder.find(incarnation_sign)));
+    auto found = addresses.find(holder.substr(0, holder.find(incarnation_separator)));
     if (found == addresses.end()) {
-      asked->handed_.unaccounted_ = true;
+      query->received_.unaccounted_ = true;
     } else {
       calls.emplace_back(found->second, prefix + holder);
     }
@@ -98,26 +99,26 @@
     for (const auto& [vm, address] : addresses) {
       calls.emplace_back(address, prefix);
     }
-    calls.resize(std::min(calls.size(), settings_.most_asked_));
+    calls.resize(std::min(calls.size(), settings_.max_peers_));
   }
-  asked->open_ = static_cast<int>(calls.size());
+  query->pending_ = static_cast<int>(calls.size());
   for (const auto& [address, target] : calls) {
-    start(*loop_, "ask_budget", ask_one(address, target, asked));
+    start(*loop_, "ask_budget", ask_peer(address, target, query));
   }
-  auto due = clock_.now() + settings_.limit_;
-  while (asked->open_ > 0 && asked->handed_.tokens_ < tokens && clock_.now() < due) {
-    co_await asked->answered_.wait_for(due - clock_.now());
+  auto deadline = clock_.now() + settings_.request_timeout_;
+  while (query->pending_ > 0 && query->received_.tokens_ < tokens && clock_.now() < deadline) {
+    co_await query->reply_received_.wait_for(deadline - clock_.now());
   }
-  if (asked->open_ > 0) {
-    asked->handed_.unaccounted_ = true;
+  if (query->pending_ > 0) {
+    query->received_.unaccounted_ = true;
   }
-  log_event(log_level::info, "budget_asked_of_peers",
+  log_event(log_level::info, "budget_requested_from_peers",
             {{"program", program_key},
              {"peers", static_cast<std::int64_t>(calls.size())},
              {"wanted", tokens},
-             {"got", asked->handed_.tokens_},
-             {"unaccounted", asked->handed_.unaccounted_}});
-  co_return std::exchange(asked->handed_, {});
+             {"got", query->received_.tokens_},
+             {"unaccounted", query->received_.unaccounted_}});
+  co_return std::exchange(query->received_, {});
 }
 
 auto budget_transfer::set_allowances(std::shared_ptr<allowance_ranges> ranges,
@@ -129,58 +130,59 @@
 auto budget_transfer::take_lease(std::string program_key, std::string reservation, std::string holder)
     -> task<bool> {
   auto self = shared_from_this();
-  auto vm = holder.substr(0, holder.find(incarnation_sign));
+  auto vm = holder.substr(0, holder.find(incarnation_separator));
   auto addresses = addresses_();
   auto found = addresses.find(vm);
-  auto silent = silent_until_.find(vm);
-  if (found == addresses.end() || (silent != silent_until_.end() && silent->second > clock_.now())) {
+  auto unresponsive = unresponsive_until_.find(vm);
+  if (found == addresses.end() ||
+      (unresponsive != unresponsive_until_.end() && unresponsive->second > clock_.now())) {
     co_return false;
   }
   auto target = std::string{lease_path} + program_key + "/" + reservation + "/" + holder;
-  auto answered = co_await exchange(found->second, std::move(target), settings_.lease_limit_);
-  if (!answered) {
-    silent_until_[vm] = clock_.now() + settings_.silent_;
-  }
-  auto given = answered && answered->status_ == static_cast<unsigned>(http::status::ok);
-  log_event(log_level::info, "reservation_asked_of_peer",
-            {{"program", program_key}, {"peer", vm}, {"reservation", reservation}, {"given", given}});
-  co_return given;
+  auto response = co_await exchange(found->second, std::move(target), settings_.lease_timeout_);
+  if (!response) {
+    unresponsive_until_[vm] = clock_.now() + settings_.unresponsive_backoff_;
+  }
+  auto granted = response && response->status_ == static_cast<unsigned>(http::status::ok);
+  log_event(log_level::info, "reservation_requested_from_peer",
+            {{"program", program_key}, {"peer", vm}, {"reservation", reservation}, {"given", granted}});
+  co_return granted;
 }
 
 auto budget_transfer::ask_allowance(std::string program_key, std::int64_t tokens) -> task<std::int64_t> {
   if (!allowances_) {
     co_return 0;
   }
-  auto given = allowances_->give(program_key, tokens);
+  auto granted = allowances_->give(program_key, tokens);
   auto holder = holder_of_(allowances_->range_of(program_key));
-  if (given > 0 || !holder) {
-    co_return given;
+  if (granted > 0 || !holder) {
+    co_return granted;
   }
   auto self = shared_from_this();
   auto target = std::string{allowance_path} + program_key + "/" + std::to_string(tokens);
-  auto answered = co_await call(*holder, std::move(target));
-  co_return answered ? answered->tokens_ : 0;
+  auto response = co_await call(*holder, std::move(target));
+  co_return response ? response->tokens_ : 0;
 }
 
-auto budget_transfer::ask_one(std::string address, std::string target, std::shared_ptr<round> asked)
+auto budget_transfer::ask_peer(std::string address, std::string target, std::shared_ptr<peer_query> query)
     -> task<> {
   auto self = shared_from_this();
-  auto got = co_await call(std::move(address), std::move(target));
-  --asked->open_;
-  if (got) {
-    asked->handed_.tokens_ += got->tokens_;
-    auto& moved = asked->handed_.moved_to_;
-    moved.insert(moved.end(), got->moved_to_.begin(), got->moved_to_.end());
+  auto received = co_await call(std::move(address), std::move(target));
+  --query->pending_;
+  if (received) {
+    query->received_.tokens_ += received->tokens_;
+    auto& moved = query->received_.moved_to_;
+    moved.insert(moved.end(), received->moved_to_.begin(), received->moved_to_.end());
   } else {
-    asked->handed_.unaccounted_ = true;
+    query->received_.unaccounted_ = true;
   }
-  asked->answered_.notify();
+  query->reply_received_.notify();
 }
 
 auto budget_transfer::call(std::string address, std::string target) -> task<std::optional<handed_tokens>> {
-  auto answered = co_await exchange(std::move(address), std::move(target), settings_.limit_);
-  auto known = answered && answered->status_ == static_cast<unsigned>(http::status::ok);
-  co_return known ? read_answer(answered->body_) : std::nullopt;
+  auto response = co_await exchange(std::move(address), std::move(target), settings_.request_timeout_);
+  auto known = response && response->status_ == static_cast<unsigned>(http::status::ok);
+  co_return known ? parse_response(response->body_) : std::nullopt;
 }
 
 auto budget_transfer::exchange(std::string address, std::string target, milliseconds limit)
@@ -192,11 +194,12 @@
   auto request = std::make_shared<http_request>(http::verb::post, target, 11);
   request->set(http::field::host, address);
   request->prepare_payload();
-  auto answered = co_await call_http(*connections_, value(parsed), std::move(request), limit, most_answer);
-  if (std::holds_alternative<exchange_fault>(answered)) {
+  auto response =
+      co_await call_http(*connections_, value(parsed), std::move(request), limit, max_response_bytes);
+  if (std::holds_alternative<exchange_fault>(response)) {
     co_return std::nullopt;
   }
-  co_return std::move(std::get<whole_answer>(answered));
+  co_return std::move(std::get<whole_answer>(response));
 }
 
 auto budget_transfer::is_request(const http_request& request) -> bool {
@@ -210,11 +213,11 @@
   if (parts.size() != expected) {
     return http_response{http::status::bad_request, 11};
   }
-  auto given = parts[2] == settings_.daemon_ && programs.hand_over_lease(parts[0], parts[1]);
-  if (given) {
-    log_event(log_level::info, "reservation_handed_over", {{"program", parts[0]}, {"reservation", parts[1]}});
+  auto granted = parts[2] == settings_.daemon_ && programs.hand_over_lease(parts[0], parts[1]);
+  if (granted) {
+    log_event(log_level::info, "reservation_transferred", {{"program", parts[0]}, {"reservation", parts[1]}});
   }
-  return http_response{given ? http::status::ok : http::status::gone, 11};
+  return http_response{granted ? http::status::ok : http::status::gone, 11};
 }
 
 auto budget_transfer::answer(program_store& programs, const http_request& request) const -> http_response {
@@ -231,19 +234,20 @@
   }
   auto answer = http_response{http::status::ok, 11};
   if (is_allowance) {
-    answer.body() = answer_text({allowances_ ? allowances_->give(parts[0], *tokens) : 0});
+    answer.body() = format_response({allowances_ ? allowances_->give(parts[0], *tokens) : 0});
     return answer;
   }
   const auto& holder = parts[3];
   if (!holder.empty() && holder != settings_.daemon_) {
     return http_response{http::status::gone, 11};
   }
-  auto handed = programs.hand_over(parts[0], parts[2], *tokens);
-  if (handed.tokens_ > 0) {
-    log_event(log_level::info, "budget_handed_over",
-              {{"program", parts[0]}, {"to", parts[2]}, {"wanted", *tokens}, {"tokens", handed.tokens_}});
+  auto transferred = programs.hand_over(parts[0], parts[2], *tokens);
+  if (transferred.tokens_ > 0) {
+    log_event(
+        log_level::info, "budget_transferred",
+        {{"program", parts[0]}, {"to", parts[2]}, {"wanted", *tokens}, {"tokens", transferred.tokens_}});
   }
-  answer.body() = answer_text(handed);
+  answer.body() = format_response(transferred);
   return answer;
 }
 
--- a/birchlever/controllers/budget_transfer.h
+++ b/birchlever/controllers/budget_transfer.h
@@ -1,7 +1,7 @@
-/// Hands drawn budgets from daemon to daemon, by a call at the control address.
+/// Transfers drawn budget tokens, reservations and allowances between daemons, over HTTP at the control
+/// address.
 ///
-/// The answer may be lost after its tokens were given away; they are then spent by nobody, which is safe. A
-/// program seldom needs this: only when its turns moved to another daemon and little of its budget is left.
+/// Tokens in a reply that is lost are not spent by any daemon; the budget is never exceeded.
 #pragma once
 
 #include <functional>
@@ -21,19 +21,19 @@
 class connection_pool;
 class program_store;
 
-/// How peers are asked.
+/// Settings of requests to peers. Times in ms.
 struct budget_transfer_settings {
-  std::string daemon_;             ///< This incarnation, as its draws name it: "VM@start".
-  milliseconds limit_ = 250;       ///< ms for one answer: peers answer within a few; slow VMs within 100.
-  std::size_t most_asked_ = 16;    ///< Peers asked when the holder is not known: bounds the cost at any size.
-  milliseconds lease_limit_ = 40;  ///< For a reservation: a write of the store takes about half of it.
-  milliseconds silent_ = 2000;     ///< A peer that did not answer is not asked for one for so long.
+  std::string daemon_;                        ///< This incarnation as named in its draws: "VM@start".
+  milliseconds request_timeout_ = 250;        ///< Timeout of a request for tokens or an allowance.
+  std::size_t max_peers_ = 16;                ///< Peers asked if the holder is unknown.
+  milliseconds lease_timeout_ = 40;           ///< Timeout of a request for a reservation.
+  milliseconds unresponsive_backoff_ = 2000;  ///< No reservation is requested from a peer that timed out.
 };
 
-/// For coroutines of one loop.
+/// Used by coroutines of one event loop.
 class budget_transfer final : public budget_peers, public std::enable_shared_from_this<budget_transfer> {
  public:
-  /// Yields the control addresses, "ip:port", of peers that live, by VM.
+  /// Returns the control addresses, "ip:port", of live peers, by VM.
   using addresses_function = std::function<std::map<std::string, std::string>()>;
 
   static auto create(event_loop& loop, const budget_transfer_settings& settings, addresses_function addresses)
@@ -42,10 +42,10 @@
   auto ask(std::string program_key, std::vector<std::string> holders, std::int64_t tokens)
       -> task<handed_tokens> override;
 
-  /// Yields the control address of the daemon that holds a range of allowances, as it last said.
+  /// Returns the control address of the daemon that last reported holding an allowance range.
   using range_holder_function = std::function<std::optional<std::string>(int)>;
 
-  /// Lets programs go beyond their budgets, through this daemon's ranges and those of others.
+  /// Enables allowances beyond a program's budget, from this daemon's ranges and those of its peers.
   auto set_allowances(std::shared_ptr<allowance_ranges> ranges, range_holder_function holder_of) -> void;
 
   auto take_lease(std::string program_key, std::string reservation, std::string holder)
@@ -53,19 +53,19 @@
 
   auto ask_allowance(std::string program_key, std::int64_t tokens) -> task<std::int64_t> override;
 
-  /// True for a peer's request for tokens.
+  /// Returns true if the request is a peer's request for tokens, a reservation or an allowance.
   [[nodiscard]] static auto is_request(const http_request& request) -> bool;
 
-  /// Answers a peer's request out of what this daemon drew: 200 with the tokens, 410 when the peer means an
-  /// earlier incarnation, 400 when the request can't be read.
+  /// Handles a peer's request: 200 with the tokens granted, 410 if it addresses an earlier incarnation or the
+  /// reservation is not available, 400 if it is malformed.
   auto answer(program_store& programs, const http_request& request) const -> http_response;
 
  private:
-  struct round;
+  struct peer_query;
 
   budget_transfer(event_loop& loop, const budget_transfer_settings& settings, addresses_function addresses);
 
-  auto ask_one(std::string address, std::string target, std::shared_ptr<round> asked) -> task<>;
+  auto ask_peer(std::string address, std::string target, std::shared_ptr<peer_query> query) -> task<>;
   auto call(std::string address, std::string target) -> task<std::optional<handed_tokens>>;
   auto exchange(std::string address, std::string target, milliseconds limit)
       -> task<std::optional<whole_answer>>;
@@ -74,11 +74,11 @@
   event_loop* loop_;
   budget_transfer_settings settings_;
   addresses_function addresses_;
-  std::shared_ptr<allowance_ranges> allowances_;  ///< None: programs never go beyond their budgets.
+  std::shared_ptr<allowance_ranges> allowances_;  ///< Null: programs never exceed their budgets.
   range_holder_function holder_of_;
   std::shared_ptr<connection_pool> connections_;
   steady_clock clock_;
-  std::map<std::string, milliseconds> silent_until_;  ///< Peers that did not answer, by VM.
+  std::map<std::string, milliseconds> unresponsive_until_;  ///< Peers that timed out, by VM.
 };
 
 }  // namespace birchlever
--- a/birchlever/controllers/central_grants.cpp
+++ b/birchlever/controllers/central_grants.cpp
@@ -8,28 +8,29 @@
 namespace birchlever {
 namespace {
 
-constexpr auto most_datagram = std::size_t{512};
+constexpr auto max_datagram_bytes = std::size_t{512};
 
-auto ask_of(const allotment_claim& wanted, std::uint64_t number) -> allotment_ask {
-  return {number, wanted.account_, wanted.begins_program_, wanted.program_requests_, wanted.program_ms_};
+auto to_request(const allotment_claim& requested, std::uint64_t number) -> allotment_request {
+  return {number, requested.account_, requested.begins_program_, requested.program_requests_,
+          requested.program_ms_};
 }
 
-auto claim_of(const allotment_ask& ask, const account_allotment& limit) -> allotment_claim {
-  return {ask.account_, limit, ask.begins_program_, ask.program_requests_, ask.program_ms_};
+auto to_claim(const allotment_request& request, const account_allotment& limit) -> allotment_claim {
+  return {request.account_, limit, request.starts_program_, request.program_requests_, request.program_ms_};
 }
 
-auto name_of(const asio::ip::udp::endpoint& sender, std::uint64_t number) -> std::string {
+auto request_key(const asio::ip::udp::endpoint& sender, std::uint64_t number) -> std::string {
   return sender.address().to_string() + ":" + std::to_string(sender.port()) + "/" + std::to_string(number);
 }
 
 }  // namespace
 
-/// An ask that waits for its answer.
-struct central_grants::pending_ask {
-  explicit pending_ask(event_loop& loop) : answered_{loop} {}
+/// A request that waits for its reply.
+struct central_grants::pending_request {
+  explicit pending_request(event_loop& loop) : reply_received_{loop} {}
 
-  std::optional<allotment_answer> answer_;
-  loop_signal answered_;
+  std::optional<allotment_reply> reply_;
+  loop_signal reply_received_;
 };
 
 central_grants::central_grants(event_loop& loop, central_grants_settings settings, limit_function limit_of,
@@ -44,10 +45,11 @@
       grantor_{settings_.grantor_},
       fallback_{settings_.fallback_,
                 [this] {
-                  return members_known_ ? static_cast<std::int64_t>(order_.size()) : settings_.unknown_fleet_;
+                  return members_known_ ? static_cast<std::int64_t>(order_.size())
+                                        : settings_.assumed_fleet_size_;
                 },
                 clock_},
-      asks_{std::random_device{}()} {}
+      last_request_number_{std::random_device{}()} {}
 
 auto central_grants::create(event_loop& loop, const central_grants_settings& settings,
                             limit_function limit_of, share_function share)
@@ -86,13 +88,13 @@
 
 auto central_grants::send(const allotment_message& message, const asio::ip::udp::endpoint& receiver) -> void {
   auto bytes = encode(message);
-  auto ignored = boost::system::error_code{};  // Like a datagram that was lost: the asker tries again.
+  auto ignored = boost::system::error_code{};  // The requester retries, as after a lost datagram.
   socket_.send_to(asio::buffer(bytes), receiver, 0, ignored);
 }
 
 auto central_grants::receive_all() -> task<> {
   auto self = shared_from_this();
-  auto buffer = std::vector<char>(most_datagram);
+  auto buffer = std::vector<char>(max_datagram_bytes);
   while (true) {
     auto code = boost::system::error_code{};
     auto sender = asio::ip::udp::endpoint{};
@@ -101,120 +103,123 @@
       co_return;
     }
     if (code) {
-      continue;  // A port that was closed answers so.
+      continue;  // ICMP port unreachable from an earlier datagram.
     }
     auto decoded = decode_allotment_message({buffer.data(), read});
     if (!ok(decoded)) {
       log_failure(log_level::warning, "allotment_message_unreadable", failure(decoded));
       continue;
     }
-    take(value(decoded), sender);
+    handle_message(value(decoded), sender);
   }
 }
 
-auto central_grants::take(const allotment_message& message, const asio::ip::udp::endpoint& sender) -> void {
-  if (const auto* ask = std::get_if<allotment_ask>(&message)) {
-    answer(*ask, sender);
-  } else if (const auto* got = std::get_if<allotment_answer>(&message)) {
-    auto waiting = pending_.find(got->number_);
-    if (waiting != pending_.end()) {
-      waiting->second->answer_ = *got;
-      waiting->second->answered_.notify();
+auto central_grants::handle_message(const allotment_message& message, const asio::ip::udp::endpoint& sender)
+    -> void {
+  if (const auto* request = std::get_if<allotment_request>(&message)) {
+    handle_request(*request, sender);
+  } else if (const auto* reply = std::get_if<allotment_reply>(&message)) {
+    auto pending = pending_.find(reply->number_);
+    if (pending != pending_.end()) {
+      pending->second->reply_ = *reply;
+      pending->second->reply_received_.notify();
     }
   } else if (const auto* debit = std::get_if<allotment_debit>(&message)) {
     grantor_.debit(debit->account_, debit->tokens_);
   }
 }
 
-auto central_grants::answer(const allotment_ask& ask, const asio::ip::udp::endpoint& sender) -> void {
+auto central_grants::handle_request(const allotment_request& request, const asio::ip::udp::endpoint& sender)
+    -> void {
   auto now = clock_->now();
-  auto name = name_of(sender, ask.number_);
-  auto before = given_.find(name);
-  if (before == given_.end()) {
-    before = given_.emplace(std::move(name), given_answer{decide(ask), now}).first;
+  auto name = request_key(sender, request.number_);
+  auto known = sent_replies_.find(name);
+  if (known == sent_replies_.end()) {
+    known = sent_replies_.emplace(std::move(name), sent_reply{decide(request), now}).first;
   }
-  send(before->second.answer_, sender);
+  send(known->second.reply_, sender);
 }
 
-auto central_grants::forget_answers() -> void {
-  auto oldest = clock_->now() - settings_.remembered_;
-  for (auto next = given_.begin(); next != given_.end();) {
-    next = next->second.at_ < oldest ? given_.erase(next) : std::next(next);
+auto central_grants::expire_replies() -> void {
+  auto oldest = clock_->now() - settings_.reply_retention_;
+  for (auto next = sent_replies_.begin(); next != sent_replies_.end();) {
+    next = next->second.sent_at_ < oldest ? sent_replies_.erase(next) : std::next(next);
   }
 }
 
-auto central_grants::decide(const allotment_ask& ask) -> allotment_answer {
-  auto limit = limit_of_(ask.account_);
+auto central_grants::decide(const allotment_request& request) -> allotment_reply {
+  auto limit = limit_of_(request.account_);
   if (!limit || !limit->limited()) {
-    return {ask.number_, false, {}};
+    return {request.number_, false, {}};
   }
-  auto first = order_.first(ask.account_) == settings_.vm_;
-  auto verdict = grantor_.claim(claim_of(ask, *limit), share_(), first, ask.granted_alone_, clock_->now());
-  if (verdict.granted_ && !first) {
-    debits_[ask.account_] += 1;
+  auto primary = order_.first(request.account_) == settings_.vm_;
+  auto decision = grantor_.claim(to_claim(request, *limit), share_(), primary,
+                                 request.granted_without_grantor_, clock_->now());
+  if (decision.granted_ && !primary) {
+    debits_[request.account_] += 1;
   }
-  return {ask.number_, true, verdict};
+  return {request.number_, true, decision};
 }
 
 auto central_grants::send_debits() -> task<> {
   auto self = shared_from_this();
   while (true) {
     co_await pause_for(*loop_, settings_.debit_interval_);
-    forget_answers();
+    expire_replies();
     for (const auto& [account, tokens] : std::exchange(debits_, {})) {
-      auto first = members_.find(order_.first(account));
-      if (first != members_.end()) {
-        send(allotment_debit{account, tokens}, first->second);
+      auto primary = members_.find(order_.first(account));
+      if (primary != members_.end()) {
+        send(allotment_debit{account, tokens}, primary->second);
       }
     }
   }
 }
 
-auto central_grants::ask_peer(std::string vm, const allotment_ask& ask)
-    -> task<std::optional<allotment_answer>> {
+auto central_grants::request_grant(std::string vm, const allotment_request& request)
+    -> task<std::optional<allotment_reply>> {
   auto address = members_.at(vm);
-  auto waiting = std::make_shared<pending_ask>(*loop_);
-  pending_[ask.number_] = waiting;
-  for (auto tries = 0; tries < settings_.tries_ && !waiting->answer_; ++tries) {
-    send(ask, address);
-    co_await waiting->answered_.wait_for(settings_.reply_timeout_);
+  auto pending = std::make_shared<pending_request>(*loop_);
+  pending_[request.number_] = pending;
+  for (auto attempt = 0; attempt < settings_.tries_ && !pending->reply_; ++attempt) {
+    send(request, address);
+    co_await pending->reply_received_.wait_for(settings_.reply_timeout_);
   }
-  pending_.erase(ask.number_);
-  if (waiting->answer_) {
+  pending_.erase(request.number_);
+  if (pending->reply_) {
     order_.note_heard(vm);
   } else {
     order_.note_silent(vm, clock_->now());
   }
-  co_return waiting->answer_;
+  co_return pending->reply_;
 }
 
-auto central_grants::claim(allotment_claim wanted) -> task<allotment_verdict> {
+auto central_grants::claim(allotment_claim requested) -> task<allotment_verdict> {
   auto self = shared_from_this();
-  auto ask = ask_of(wanted, ++asks_);
-  ask.granted_alone_ = granted_alone_[wanted.account_];
-  auto asked =
-      members_known_ ? order_.candidates(wanted.account_, clock_->now()) : std::vector<std::string>{};
-  for (auto& vm : asked) {
-    auto got = std::optional<allotment_answer>{};
+  auto request = to_request(requested, ++last_request_number_);
+  request.granted_without_grantor_ = granted_without_grantor_[requested.account_];
+  auto candidates =
+      members_known_ ? order_.candidates(requested.account_, clock_->now()) : std::vector<std::string>{};
+  for (auto& vm : candidates) {
+    auto reply = std::optional<allotment_reply>{};
     if (vm == settings_.vm_) {
-      got = decide(ask);
+      reply = decide(request);
     } else if (members_.count(vm) != 0) {
-      got = co_await ask_peer(std::move(vm), ask);
+      reply = co_await request_grant(std::move(vm), request);
     }
-    if (!got || !got->known_) {
+    if (!reply || !reply->has_limit_) {
       continue;
     }
-    auto& untold = granted_alone_[wanted.account_];
-    untold = std::max(untold - ask.granted_alone_, 0.0);
-    if (got->verdict_.granted_) {
-      fallback_.note_granted(wanted.account_);
+    auto& unreported = granted_without_grantor_[requested.account_];
+    unreported = std::max(unreported - request.granted_without_grantor_, 0.0);
+    if (reply->decision_.granted_) {
+      fallback_.note_granted(requested.account_);
     }
-    co_return got->verdict_;
+    co_return reply->decision_;
   }
-  ++unanswered_;
-  auto verdict = fallback_.decide(wanted);
-  granted_alone_[wanted.account_] += verdict.granted_ ? 1 : 0;
-  co_return verdict;
+  ++fallback_decisions_;
+  auto decision = fallback_.decide(requested);
+  granted_without_grantor_[requested.account_] += decision.granted_ ? 1 : 0;
+  co_return decision;
 }
 
 }  // namespace birchlever
--- a/birchlever/controllers/change_log.h
+++ b/birchlever/controllers/change_log.h
@@ -1,6 +1,5 @@
-/// The latest changes of a table that mean something, for daemons that follow it through this one. Upstreams
-/// write a heartbeat each second or so that changes nothing for anybody who chooses among them; 273 of them
-/// make 227 changes a second, of which a few in a minute matter.
+/// Recent effective changes of a table, kept by a follower for the daemons that read the table through it.
+/// Rows whose comparison key is unchanged, such as heartbeats, are left out.
 #pragma once
 
 #include <cstdint>
@@ -15,41 +14,41 @@
 
 namespace birchlever {
 
-/// A function of the rows that it is given; no network.
+/// Has no I/O; depends only on the rows it is given.
 class change_log {
  public:
-  /// A digest of what matters of a row's content. Rows with the same digest are taken for the same.
-  using meaning_function = std::function<std::uint64_t(const stored_row&)>;
+  /// Returns a digest of the relevant part of a row's content. Rows with equal digests are considered equal.
+  using comparison_key_function = std::function<std::uint64_t(const stored_row&)>;
 
-  /// Makes a row's content shorter without changing how it is read; what is short already stays.
+  /// Returns a shorter encoding of a row's content that decodes to the same value.
   using pack_function = std::function<std::string(const stored_row&)>;
 
-  explicit change_log(meaning_function meaning, pack_function pack = nullptr)
-      : meaning_{std::move(meaning)}, pack_{std::move(pack)} {}
+  explicit change_log(comparison_key_function comparison_key, pack_function pack = nullptr)
+      : comparison_key_{std::move(comparison_key)}, pack_{std::move(pack)} {}
 
-  /// The table is told anew, page by page: nothing is known until its end.
-  auto begin() -> void;
+  /// Starts a new scan of the table. All earlier changes are discarded.
+  auto start_scan() -> void;
 
-  /// A page of it.
-  auto add(const std::vector<stored_row>& rows) -> void;
+  /// Adds one page of the scan.
+  auto add_page(const std::vector<stored_row>& rows) -> void;
 
-  /// All was told, as of a version. Changes before it are not known.
-  auto end(std::int64_t version) -> void;
+  /// Finishes the scan, which reflects the given version. Changes before it are unknown.
+  auto finish_scan(std::int64_t version) -> void;
 
-  /// All three at once.
+  /// Replaces the content with a complete scan.
   auto reset(const std::vector<stored_row>& rows, std::int64_t version) -> void;
 
-  /// Rows that changed, in order, and the version up to which all are named. Yields those that mean
-  /// something.
-  auto take(const std::vector<stored_row>& changed, std::int64_t version) -> std::vector<stored_row>;
+  /// Adds changed rows, in order; `version` is the version up to which the changes are complete. Returns the
+  /// effective changes.
+  auto apply(const std::vector<stored_row>& changed, std::int64_t version) -> std::vector<stored_row>;
 
-  /// The changes after a version; none when that lies before what is known.
+  /// Returns the changes after a version, or none if that version is older than the log.
   [[nodiscard]] auto since(std::int64_t version) const -> std::optional<std::vector<stored_row>>;
 
-  /// Up to which all is known; 0 before the first reset.
+  /// Returns the version up to which changes are known; 0 before the first scan has finished.
   [[nodiscard]] auto version() const -> std::int64_t { return version_; }
 
-  /// The version of the last change that means something.
+  /// Returns the version of the last effective change.
   [[nodiscard]] auto last_change() const -> std::int64_t {
     return changes_.empty() ? known_from_ : changes_.back().version_;
   }
@@ -57,9 +56,9 @@
  private:
   [[nodiscard]] auto packed(const stored_row& row) const -> std::string;
 
-  meaning_function meaning_;
+  comparison_key_function comparison_key_;
   pack_function pack_;
-  std::unordered_map<std::string, std::uint64_t> told_;  ///< What each row means, by key.
+  std::unordered_map<std::string, std::uint64_t> comparison_keys_;  ///< By row key.
   std::deque<stored_row> changes_;
   std::int64_t known_from_ = 0;
   std::int64_t version_ = 0;
--- a/birchlever/controllers/peer_exchange.cpp
+++ b/birchlever/controllers/peer_exchange.cpp
@@ -10,11 +10,11 @@
 namespace birchlever {
 namespace {
 
-constexpr auto most_datagram =
-    std::size_t{8192};  // A message names upstreams in use only: about 20 bytes each.
-constexpr auto first_list_gap = milliseconds{700};  // After a start in common others announce themselves too.
-constexpr auto retry_gap = milliseconds{500};
-constexpr auto list_limit = milliseconds{10000};  // For all pages of the list.
+constexpr auto max_datagram_bytes = std::size_t{8192};  // About 20 bytes for each upstream in use.
+constexpr auto first_list_interval =
+    milliseconds{700};  // Daemons started at the same time register meanwhile.
+constexpr auto retry_interval = milliseconds{500};
+constexpr auto list_timeout = milliseconds{10000};  // For all pages of the list.
 
 }  // namespace
 
@@ -54,19 +54,19 @@
   return made;
 }
 
-auto peer_exchange::send(const peer_state& state, int most) -> void {
+auto peer_exchange::send(const peer_state& state, int max_receivers) -> void {
   auto bytes = encode(state);
-  if (bytes.size() > most_datagram) {
+  if (bytes.size() > max_datagram_bytes) {
     log_event(log_level::warning, "peer_message_too_long",
               {{"bytes", static_cast<std::int64_t>(bytes.size())}});
     return;
   }
-  auto count = std::min(receivers_.size(), static_cast<std::size_t>(most));
+  auto count = std::min(receivers_.size(), static_cast<std::size_t>(max_receivers));
   if (count < receivers_.size()) {
     std::shuffle(receivers_.begin(), receivers_.end(), random_);
   }
   for (auto next = std::size_t{0}; next < count; ++next) {
-    auto ignored = boost::system::error_code{};  // A datagram may always be lost; the next follows soon.
+    auto ignored = boost::system::error_code{};  // Datagrams may be lost; the next one follows soon.
     socket_.send_to(asio::buffer(bytes), receivers_[next], 0, ignored);
   }
 }
@@ -79,27 +79,27 @@
   }
 }
 
-auto peer_exchange::publish(const upstream_news& news) -> void {
-  untold_.push_back(news);
-  if (untold_.size() == 1) {
-    start(*loop_, "peer_news", send_news());
+auto peer_exchange::publish(const upstream_news& report) -> void {
+  pending_reports_.push_back(report);
+  if (pending_reports_.size() == 1) {
+    start(*loop_, "peer_health_reports", send_health_reports());
   }
 }
 
-auto peer_exchange::send_news() -> task<> {
+auto peer_exchange::send_health_reports() -> task<> {
   auto self = shared_from_this();
-  auto since_last = clock_.now() - told_at_;
+  auto since_last = clock_.now() - reports_sent_at_;
   co_await pause_for(*loop_, std::max(settings_.report_delay_, settings_.min_report_interval_ - since_last));
-  told_at_ = clock_.now();
-  auto state = peer_state{};  // News only: many get it, and what a daemon runs is told in regular messages.
+  reports_sent_at_ = clock_.now();
+  auto state = peer_state{};  // Health reports only; the rest is sent in regular messages.
   state.vm_ = settings_.vm_;
-  state.news_ = std::exchange(untold_, {});
+  state.health_reports_ = std::exchange(pending_reports_, {});
   send(state, settings_.max_report_receivers_);
 }
 
 auto peer_exchange::receive_all() -> task<> {
   auto self = shared_from_this();
-  auto buffer = std::vector<char>(most_datagram);
+  auto buffer = std::vector<char>(max_datagram_bytes);
   while (true) {
     auto code = boost::system::error_code{};
     auto sender = asio::ip::udp::endpoint{};
@@ -108,36 +108,36 @@
       co_return;
     }
     if (code) {
-      continue;  // A peer's port that was closed answers so; the next datagram tells more.
+      continue;  // ICMP port unreachable from an earlier datagram.
     }
     auto decoded = decode_peer_state({buffer.data(), read});
     if (!ok(decoded)) {
       log_failure(log_level::warning, "peer_message_unreadable", failure(decoded));
       continue;
     }
-    learn(sender);
-    take(std::move(value(decoded)));
+    add_receiver(sender);
+    handle_message(std::move(value(decoded)));
   }
 }
 
-auto peer_exchange::learn(const asio::ip::udp::endpoint& peer) -> void {
+auto peer_exchange::add_receiver(const asio::ip::udp::endpoint& peer) -> void {
   if (known_.insert(peer).second) {
     receivers_.push_back(peer);
   }
 }
 
-auto peer_exchange::take(peer_state said) -> void {
-  if (said.news_.empty()) {
-    auto vm = said.vm_;
-    views_.record_state(std::move(said));
-    if (on_heard_) {
-      on_heard_(vm);
+auto peer_exchange::handle_message(peer_state state) -> void {
+  if (state.health_reports_.empty()) {
+    auto vm = state.vm_;
+    views_.record_state(std::move(state));
+    if (on_peer_seen_) {
+      on_peer_seen_(vm);
     }
     return;
   }
-  for (const auto& one : said.news_) {
-    if (on_news_) {
-      on_news_(said.vm_, one);
+  for (const auto& report : state.health_reports_) {
+    if (on_health_report_) {
+      on_health_report_(state.vm_, report);
     }
   }
 }
@@ -152,62 +152,63 @@
   auto self = shared_from_this();
   auto read_before = false;
   while (true) {
-    auto good = co_await read_list();
-    auto next = std::exchange(read_before, read_before || good) ? settings_.list_gap_ : first_list_gap;
-    co_await pause_for(*loop_, good ? next : retry_gap);
+    auto succeeded = co_await read_list();
+    auto next =
+        std::exchange(read_before, read_before || succeeded) ? settings_.list_interval_ : first_list_interval;
+    co_await pause_for(*loop_, succeeded ? next : retry_interval);
   }
 }
 
 auto peer_exchange::read_list() -> task<bool> {
   auto range = row_range{settings_.table_, "", "", ""};
-  auto page = co_await read_all(*rows_, range, settings_.call_limit_, list_limit);
+  auto page = co_await read_all(*rows_, range, settings_.call_limit_, list_timeout);
   if (!ok(page)) {
-    co_return false;  // The store's followers log that it is away.
+    co_return false;  // The table followers log that the store is unreachable.
   }
   receivers_.clear();
   known_.clear();
   list_known_ = true;
-  auto listed_here = false;
+  auto self_listed = false;
   auto listed = std::map<std::string, asio::ip::udp::endpoint>{};
   for (const auto& row : value(page).rows_) {
     auto parsed = parse_address(row.value_);
-    auto ours = row.key_.key_ == settings_.vm_;
-    listed_here = listed_here || (ours && row.value_ == settings_.address_);
-    if (!ours && ok(parsed)) {
+    auto is_self = row.key_.key_ == settings_.vm_;
+    self_listed = self_listed || (is_self && row.value_ == settings_.address_);
+    if (!is_self && ok(parsed)) {
       auto endpoint = asio::ip::udp::endpoint{value(parsed).address(), value(parsed).port()};
-      learn(endpoint);
+      add_receiver(endpoint);
       listed.emplace(row.key_.key_, endpoint);
     }
   }
   if (on_list_) {
     on_list_(listed);
   }
-  if (!listed_here) {
+  if (!self_listed) {
     co_return co_await announce();
   }
-  co_await forget_silent(std::move(value(page).rows_));
+  co_await remove_unresponsive(std::move(value(page).rows_));
   co_return true;
 }
 
-auto peer_exchange::forget_silent(std::vector<stored_row> rows) -> task<> {
+auto peer_exchange::remove_unresponsive(std::vector<stored_row> rows) -> task<> {
   auto now = clock_.now();
-  auto still_silent = std::map<std::string, milliseconds>{};
+  auto unseen = std::map<std::string, milliseconds>{};
   for (const auto& row : rows) {
     const auto& vm = row.key_.key_;
-    auto known = silent_since_.find(vm);
-    auto listed_since = known == silent_since_.end() ? now : known->second;
-    auto since = views_.heard_at(vm).value_or(listed_since);
-    if (vm == settings_.vm_ || now - since < settings_.forget_) {
-      still_silent[vm] = since;
+    auto known = unseen_since_.find(vm);
+    auto listed_since = known == unseen_since_.end() ? now : known->second;
+    auto last_seen = views_.last_seen(vm).value_or(listed_since);
+    if (vm == settings_.vm_ || now - last_seen < settings_.remove_after_) {
+      unseen[vm] = last_seen;
       continue;
     }
-    log_event(log_level::info, "peer_forgotten", {{"peer", vm}, {"silent_ms", now - since}});
+    log_event(log_level::info, "peer_removed", {{"peer", vm}, {"silent_ms", now - last_seen}});
     auto removal = row_transaction{{{row.key_, row.version_}}, {}, {row.key_}};
-    co_await rows_->commit(std::move(removal),
-                           settings_.call_limit_);  // Failed: the next reading tries again.
+    // A failed removal is retried with the next read of the list.
+    co_await rows_->commit(std::move(removal), settings_.call_limit_);
     views_.forget(vm);
   }
-  silent_since_ = std::move(still_silent);
+  unseen_since_ = std::move(unseen);
 }
 
 }  // namespace birchlever
--- a/birchlever/controllers/peer_exchange.h
+++ b/birchlever/controllers/peer_exchange.h
@@ -1,5 +1,5 @@
-/// What daemons tell each other beside the store: when it last answered them, which configuration they serve,
-/// and how many requests they have at each upstream. Losing any message, or all, only makes views older.
+/// Datagrams that daemons exchange directly: time since the last store response, configuration version, and
+/// requests in flight at each upstream. Lost messages only make the receiver's view older.
 #pragma once
 
 #include <boost/asio/ip/udp.hpp>
@@ -17,64 +17,59 @@
 
 namespace birchlever {
 
-/// How views are exchanged.
+/// Settings of the exchange. Times in ms.
 struct peer_exchange_settings {
   std::string vm_;
-  std::string address_;               ///< "ip:port" of the datagrams, alike in form on all daemons.
-  std::string table_ = "daemons";     ///< Where daemons find each other.
-  milliseconds send_interval_ = 200;  ///< A burst fills an upstream within some hundred ms.
-  milliseconds report_delay_ =
-      20;  ///< News of so long go out together, so that a bad second costs few messages.
-  milliseconds min_report_interval_ = 200;  ///< Between two sendings of news: 350 datagrams take some ms of a
-                                            ///< small VM's processor.
-  int max_report_receivers_ =
-      350;                  ///< Peers that get news, drawn anew each time: all of the largest fleet, so that
-                            ///< three daemons that met a dead upstream are heard by all. 8 failures/s at one
-                            ///< upstream cost each daemon 8 datagrams/s of about 100 bytes.
-  int max_receivers_ = 16;  ///< A message each gap to so many, drawn anew: bounds the cost at any size.
-  milliseconds max_state_age_ = 1500;  ///< Older views count no more.
-  milliseconds list_gap_ = 30000;      ///< Between two readings of the list of daemons; those that are heard
-                                       ///< before are known at once. Six calls a reading at 295 daemons.
-  milliseconds call_limit_ = 1500;     ///< For one call of the store.
-  milliseconds forget_ = 600000;  ///< A peer that is listed and not heard for so long is taken from the list;
-                                  ///< one that lives finds itself missing and lists itself again.
+  std::string address_;                     ///< "ip:port" of the datagram socket, as listed in the store.
+  std::string table_ = "daemons";           ///< Table that lists all daemons.
+  milliseconds send_interval_ = 200;        ///< Interval between two regular messages.
+  milliseconds report_delay_ = 20;          ///< Time for which health reports are collected into one message.
+  milliseconds min_report_interval_ = 200;  ///< Minimum interval between two messages with health reports.
+  int max_report_receivers_ = 350;      ///< Peers that get a message with health reports, selected at random.
+  int max_receivers_ = 16;              ///< Peers that get a regular message, selected at random.
+  milliseconds max_state_age_ = 1500;   ///< Older states are ignored.
+  milliseconds list_interval_ = 30000;  ///< Interval between two reads of the list of daemons.
+  milliseconds call_limit_ = 1500;      ///< Timeout of one store call.
+  milliseconds remove_after_ = 600000;  ///< A listed peer that was not seen for this long is removed from the
+                                        ///< list. A live daemon that finds itself missing registers again.
 };
 
-/// For coroutines of one loop.
+/// Used by coroutines of one event loop.
 class peer_exchange : public std::enable_shared_from_this<peer_exchange> {
  public:
-  /// Yields what this daemon says of itself.
+  /// Returns this daemon's state for a regular message.
   using describe_function = std::function<peer_state()>;
 
-  /// Binds the address, announces this daemon in the store and begins. Failures: invalid_setting.
+  /// Binds the address and starts exchanging messages; registers this daemon in the store. Failures:
+  /// invalid_setting.
   static auto create(event_loop& loop, std::shared_ptr<row_store_interface> rows,
                      const peer_exchange_settings& settings, describe_function describe)
       -> result<std::shared_ptr<peer_exchange>>;
 
   [[nodiscard]] auto settings() const -> const peer_exchange_settings& { return settings_; }
 
-  /// What peers said.
+  /// Returns the states received from peers.
   [[nodiscard]] auto views() const -> const peer_views& { return views_; }
 
-  /// Called with a peer's VM and what it learned of an upstream.
-  using news_function = std::function<void(const std::string&, const upstream_news&)>;
-  auto on_health_report(news_function callback) -> void { on_news_ = std::move(callback); }
+  /// Called with a peer's VM and a health report received from it.
+  using health_report_function = std::function<void(const std::string&, const upstream_news&)>;
+  auto on_health_report(health_report_function callback) -> void { on_health_report_ = std::move(callback); }
 
-  /// Called with all other listed daemons, by VM, each time that the list was read.
+  /// Called with all other listed daemons, by VM, after each read of the list.
   using list_function = std::function<void(const std::map<std::string, asio::ip::udp::endpoint>&)>;
   auto on_list(list_function callback) -> void { on_list_ = std::move(callback); }
 
-  /// Called with a peer's VM when a regular message of it came.
-  using heard_function = std::function<void(const std::string&)>;
-  auto on_peer_seen(heard_function callback) -> void { on_heard_ = std::move(callback); }
+  /// Called with a peer's VM when a regular message from it is received.
+  using peer_seen_function = std::function<void(const std::string&)>;
+  auto on_peer_seen(peer_seen_function callback) -> void { on_peer_seen_ = std::move(callback); }
 
-  /// Tells peers soon what this daemon learned.
-  auto publish(const upstream_news& news) -> void;
+  /// Sends a health report to peers after a short delay, together with others.
+  auto publish(const upstream_news& report) -> void;
 
-  /// Peers that the store lists.
+  /// Returns the number of peers in the list.
   [[nodiscard]] auto listed_peers() const -> std::size_t { return receivers_.size(); }
 
-  /// True once the list was read.
+  /// Returns true once the list has been read.
   [[nodiscard]] auto list_known() const -> bool { return list_known_; }
 
  private:
@@ -82,15 +77,15 @@
                 describe_function describe);
 
   auto send_all() -> task<>;
-  auto send_news() -> task<>;
-  auto send(const peer_state& state, int most) -> void;
+  auto send_health_reports() -> task<>;
+  auto send(const peer_state& state, int max_receivers) -> void;
   auto receive_all() -> task<>;
-  auto take(peer_state said) -> void;
-  auto learn(const asio::ip::udp::endpoint& peer) -> void;
+  auto handle_message(peer_state state) -> void;
+  auto add_receiver(const asio::ip::udp::endpoint& peer) -> void;
   auto follow_list() -> task<>;
   auto announce() -> task<bool>;
   auto read_list() -> task<bool>;
-  auto forget_silent(std::vector<stored_row> rows) -> task<>;
+  auto remove_unresponsive(std::vector<stored_row> rows) -> task<>;
 
   event_loop* loop_;
   std::shared_ptr<row_store_interface> rows_;
@@ -100,15 +95,15 @@
   steady_clock clock_;
   std::mt19937 random_;
   std::vector<asio::ip::udp::endpoint> receivers_;
-  std::set<asio::ip::udp::endpoint> known_;  ///< The same, to be looked up.
-  std::vector<upstream_news> untold_;
-  milliseconds told_at_ = 0;
+  std::set<asio::ip::udp::endpoint> known_;  ///< The endpoints in receivers_, for lookup.
+  std::vector<upstream_news> pending_reports_;
+  milliseconds reports_sent_at_ = 0;
   bool list_known_ = false;
-  news_function on_news_;
+  health_report_function on_health_report_;
   list_function on_list_;
-  heard_function on_heard_;
+  peer_seen_function on_peer_seen_;
   peer_views views_;
-  std::map<std::string, milliseconds> silent_since_;  ///< Listed peers, until they are heard.
+  std::map<std::string, milliseconds> unseen_since_;  ///< Time last seen or first listed, by listed peer.
 };
 
 }  // namespace birchlever
--- a/birchlever/controllers/peer_feed.h
+++ b/birchlever/controllers/peer_feed.h
@@ -1,8 +1,7 @@
-/// Follows a table of the store through a few daemons. Those look at the store themselves and tell the others
-/// what changed; the others hold a look at one of them, and look at the store when it does not answer, lags
-/// or has forgotten. Nobody must exist: with several followers calls are wasted, with none each looks itself.
-///
-/// On a fleet of 295 daemons before 273 upstreams each daemon's own looks cost 4.9 calls and 30 KB a second.
+/// Reads changes of a store table through a few daemons, the followers, which poll the store and serve the
+/// changes to the others. The other daemons hold a long poll at one follower, and poll the store themselves
+/// when the follower does not respond, lags or lacks history. No coordination is needed for correctness: more
+/// followers only cost additional calls, and without any each daemon polls the store.
 #pragma once
 
 #include <functional>
@@ -23,80 +22,81 @@
 
 class connection_pool;
 class peer_views;
-struct told_follower;
+struct reported_follower;
 
-/// How a table is followed through peers. Times in ms.
+/// Settings of peer_feed. Times in ms.
 struct peer_feed_settings {
   std::string vm_;
-  double cores_ = 0;                 ///< This daemon's share of a core: those with more follow first.
-  int followers_ = 3;                ///< Daemons that look at the store themselves.
-  milliseconds remembered_ = 3000;   ///< A follower counts for so long after it said that it is one; daemons
-                                     ///< tell each other, so that all hear of it within a second.
-  milliseconds start_delay_ = 1000;  ///< At most, before the first look at the store: of hundreds that start
-                                     ///< at once those that draw the shortest become followers.
-  milliseconds wait_ = 600;          ///< A look is held by a peer so long.
-  milliseconds grace_ = 250;   ///< Beyond that, until the peer is taken for silent. With wait_ less than half
-                               ///< of the shortest time after which a leaving upstream must get no work.
-  milliseconds oldest_ = 800;  ///< A follower that the store answered longer ago tells nobody.
-  milliseconds avoid_ = 3000;  ///< A peer that failed is not asked for so long.
-  int peer_tries_ = 2;         ///< Peers that are asked before the store is.
-  milliseconds peers_gap_ = 100;   ///< Until peers are asked again that all failed.
-  milliseconds store_gap_ = 1000;  ///< A daemon that does not follow looks at the store at most so often,
-                                   ///< half of it at least: when followers are held up since the store is,
-                                   ///< the looks of all others must not hold it up for good.
-  milliseconds store_wait_ = 500;  ///< A follower's own look is held by the store so long.
-  std::size_t busy_rows_ = 16;     ///< Where a look brings so many rows, heartbeats of hundreds,
-  milliseconds busy_gap_ = 150;    ///< the next one comes so much later: each look has its price.
-  std::size_t full_rows_ = 250;  ///< But not where it brings so many: a look brings 500 at most, and whoever
-                                 ///< falls behind the heartbeats of thousands never catches up.
+  double cores_ = 0;   ///< This daemon's share of a processor core; daemons with more become followers first.
+  int followers_ = 3;  ///< Number of followers.
+  milliseconds follower_timeout_ = 3000;  ///< A daemon counts as follower for this time after its report.
+  milliseconds max_start_delay_ = 1000;   ///< Upper bound of the random delay before the first poll of the
+                                          ///< store; spreads the load when many daemons start at once.
+  milliseconds poll_wait_ = 600;          ///< Time for which a follower holds a long poll.
+  /// Added to poll_wait_ until a follower counts as unresponsive. The sum must be less than half of the
+  /// shortest time within which a leaving upstream must stop getting requests.
+  milliseconds response_grace_ = 250;
+  milliseconds max_view_age_ = 800;   ///< A follower without store response for this long serves no changes.
+  milliseconds peer_backoff_ = 3000;  ///< Time for which a peer that failed is not asked.
+  int max_peer_attempts_ = 2;         ///< Peers asked before the store is polled.
+  milliseconds peer_retry_interval_ = 100;  ///< Time until peers are asked again after all have failed.
+  /// Interval between two polls of the store by a daemon that is no follower; jittered down to half of it.
+  /// Limits the load on a slow store.
+  milliseconds fallback_poll_interval_ = 1000;
+  milliseconds store_poll_wait_ = 500;  ///< Time for which the store holds a follower's long poll.
+  std::size_t busy_rows_ = 16;          ///< From this number of rows on, the next poll is delayed.
+  milliseconds busy_poll_delay_ = 150;  ///< Delay after busy_rows_; limits the cost of heartbeats.
+  std::size_t backlog_rows_ = 250;      ///< From this number of rows on, the next poll is not delayed.
 };
 
-/// For coroutines of one loop.
+/// Used by coroutines of one event loop.
 class peer_feed : public std::enable_shared_from_this<peer_feed> {
  public:
-  /// `views` outlive it and tell which peers follow.
+  /// `views` supplies the known followers and must outlive the feed.
   static auto create(event_loop& loop, std::shared_ptr<row_store_interface> rows, const peer_views& views,
-                     const peer_feed_settings& settings, change_log::meaning_function meaning,
+                     const peer_feed_settings& settings, change_log::comparison_key_function comparison_key,
                      change_log::pack_function pack = nullptr) -> std::shared_ptr<peer_feed>;
 
-  /// Waits for changes of a table after a version, as the store's own feed does, and with its failures.
+  /// Waits for changes of a table after a version, like the store's own feed and with the same failures.
   auto changes(std::string table, std::int64_t after) -> task<result<row_page>>;
 
-  /// A scan of the table begins, brings a page of rows, and ends with the version that all of it reflects.
-  auto begin_scan() -> void { log_.begin(); }
-  auto take_page(const std::vector<stored_row>& rows) -> void { log_.add(rows); }
-  auto end_scan(std::int64_t version) -> void;
+  /// Starts a scan of the table, adds a page of its rows, and finishes it with the version that it reflects.
+  auto start_scan() -> void { log_.start_scan(); }
+  auto add_page(const std::vector<stored_row>& rows) -> void { log_.add_page(rows); }
+  auto finish_scan(std::int64_t version) -> void;
 
-  /// The followers that a message of this daemon names.
-  [[nodiscard]] auto reported_followers() const -> std::vector<told_follower>;
+  /// Returns the followers to name in this daemon's regular messages.
+  [[nodiscard]] auto reported_followers() const -> std::vector<reported_follower>;
 
-  /// True when this daemon looks at the store itself, goes on doing so, and may be asked by others.
+  /// Returns true while this daemon polls the store as a follower and can serve changes to peers.
   [[nodiscard]] auto follows() const -> bool;
 
-  /// True for a peer's look.
+  /// Returns true if the request is a peer's poll.
   [[nodiscard]] static auto is_request(const http_request& request) -> bool;
 
-  /// Answers a peer's look: 200 with the changes, 410 when it asks for forgotten ones, 503 when this daemon
-  /// does not follow or has not heard from the store of late, 400 when the request can't be read.
+  /// Handles a peer's poll: 200 with the changes, 410 if the version is older than the history, 503 if this
+  /// daemon received no recent store response or is behind the requested version, 400 if the request is
+  /// malformed.
   auto answer(http_request request) -> task<http_response>;
 
  private:
   peer_feed(event_loop& loop, std::shared_ptr<row_store_interface> rows, const peer_views& views,
-            const peer_feed_settings& settings, change_log::meaning_function meaning,
+            const peer_feed_settings& settings, change_log::comparison_key_function comparison_key,
             change_log::pack_function pack);
 
-  [[nodiscard]] auto must_follow() const -> bool;
-  [[nodiscard]] auto may_answer() const -> bool;
+  [[nodiscard]] auto should_follow() const -> bool;
+  [[nodiscard]] auto can_serve() const -> bool;
   auto page_after(std::int64_t after) -> std::optional<std::string>;
   [[nodiscard]] auto rank_of(const std::string& vm, double cores) const -> std::pair<double, std::uint64_t>;
-  /// The peer followed so far while it answers, else one by this daemon's own order.
+  /// Returns the VM and address of the current follower while it responds, else of the one preferred by this
+  /// daemon.
   auto choose_peer() -> std::optional<std::pair<std::string, std::string>>;
-  [[nodiscard]] auto current() const -> bool;
-  auto note_source(const std::string& peer, const std::string& address) -> void;
-  /// Asks peers. Yields nothing when none answered.
-  auto look_at_peers(std::int64_t after) -> task<std::optional<row_page>>;
-  auto look_at_store(std::string table, std::int64_t after) -> task<result<row_page>>;
-  auto look_at_peer(std::string address, std::int64_t after) -> task<result<row_page>>;
+  [[nodiscard]] auto has_recent_store_contact() const -> bool;
+  auto record_source(const std::string& peer, const std::string& address) -> void;
+  /// Polls peers. Returns none if none responded.
+  auto poll_peers(std::int64_t after) -> task<std::optional<row_page>>;
+  auto poll_store(std::string table, std::int64_t after) -> task<result<row_page>>;
+  auto poll_peer(std::string address, std::int64_t after) -> task<result<row_page>>;
 
   event_loop* loop_;
   std::shared_ptr<row_store_interface> rows_;
@@ -104,22 +104,22 @@
   peer_feed_settings settings_;
   change_log log_;
   loop_signal changed_;
-  std::minstd_rand random_;     ///< For jitter.
-  milliseconds store_due_ = 0;  ///< When the store may be looked at without following it.
+  std::minstd_rand random_;              ///< For jitter.
+  milliseconds next_store_poll_at_ = 0;  ///< When a daemon that is no follower may poll the store next.
   std::shared_ptr<connection_pool> connections_;
   steady_clock clock_;
-  std::string source_;  ///< The peer looked at last; empty for the store.
+  std::string source_;  ///< VM of the peer polled last; empty for the store.
   std::string source_address_;
-  milliseconds first_look_at_ = 0;  ///< When the store may be looked at first.
+  milliseconds first_poll_at_ = 0;  ///< When the store may be polled for the first time.
   struct encoded_page {
     std::int64_t after_ = -1;
     std::int64_t version_ = -1;
     std::string bytes_;
   };
-  encoded_page last_page_;                       ///< Most who ask ask for the same.
-  milliseconds store_answered_at_ = 0;           ///< 0 when never.
-  bool busy_ = false;                            ///< The last look brought many rows.
-  std::map<std::string, milliseconds> avoided_;  ///< Peers that failed, until when.
+  encoded_page last_page_;                       ///< Cached, since most peers request the same page.
+  milliseconds last_store_response_at_ = 0;      ///< 0 if never.
+  bool busy_ = false;                            ///< The last poll returned many rows.
+  std::map<std::string, milliseconds> avoided_;  ///< End of the backoff of failed peers, by VM.
 };
 
 }  // namespace birchlever
--- a/birchlever/controllers/peer_state.cpp
+++ b/birchlever/controllers/peer_state.cpp
@@ -7,15 +7,15 @@
 
 using json = nlohmann::json;
 
-/// Places of fields that daemons of earlier versions do not send.
+/// Indexes of fields that earlier versions do not send.
 enum class added_field : std::size_t { allowance_ranges = 6, follows, region, cores, followers };
 
-/// Reads such a field where it is there.
+/// Reads an optional field if the message has it.
 template <class Field>
 auto read_added(const json& message, added_field field, Field& into) -> void {
-  auto place = static_cast<std::size_t>(field);
-  if (message.size() > place) {
-    message.at(place).get_to(into);
+  auto index = static_cast<std::size_t>(field);
+  if (message.size() > index) {
+    message.at(index).get_to(into);
   }
 }
 
@@ -23,21 +23,22 @@
 
 auto encode(const peer_state& state) -> std::string {
   auto bytes = std::string{};
-  auto silence = state.store_response_age_ ? json(*state.store_response_age_) : json(nullptr);
-  auto news = json::array();
-  for (const auto& one : state.news_) {
-    news.push_back(json::array({one.id_, one.failed_, one.born_}));
+  auto response_age = state.store_response_age_ ? json(*state.store_response_age_) : json(nullptr);
+  auto reports = json::array();
+  for (const auto& report : state.health_reports_) {
+    reports.push_back(json::array({report.id_, report.failed_, report.born_}));
   }
   auto followers = json::array();
-  for (const auto& one : state.followers_) {
-    followers.push_back(json::array({one.vm_, one.control_address_, one.cores_, one.age_}));
+  for (const auto& follower : state.followers_) {
+    followers.push_back(
+        json::array({follower.vm_, follower.control_address_, follower.cores_, follower.age_}));
   }
   auto message = json{state.vm_,
-                      silence,
+                      response_age,
                       state.configuration_,
                       state.control_address_,
                       state.running_,
-                      news,
+                      reports,
                       state.allowance_ranges_,
                       state.follows_,
                       state.region_,
@@ -58,10 +59,10 @@
     message.at(2).get_to(state.configuration_);
     message.at(3).get_to(state.control_address_);
     message.at(4).get_to(state.running_);
-    for (const auto& one : message.at(5)) {
+    for (const auto& report : message.at(5)) {
       constexpr auto born_field = std::size_t{2};
-      auto born = one.size() > born_field ? one.at(born_field).get<std::int64_t>() : 0;
-      state.news_.push_back({one.at(0).get<std::string>(), one.at(1).get<bool>(), born});
+      auto born = report.size() > born_field ? report.at(born_field).get<std::int64_t>() : 0;
+      state.health_reports_.push_back({report.at(0).get<std::string>(), report.at(1).get<bool>(), born});
     }
     read_added(message, added_field::allowance_ranges, state.allowance_ranges_);
     read_added(message, added_field::follows, state.follows_);
@@ -69,12 +70,12 @@
     read_added(message, added_field::cores, state.cores_);
     auto followers = json::array();
     read_added(message, added_field::followers, followers);
-    for (const auto& one : followers) {
-      state.followers_.push_back({one.at(0), one.at(1), one.at(2), one.at(3)});
+    for (const auto& follower : followers) {
+      state.followers_.push_back({follower.at(0), follower.at(1), follower.at(2), follower.at(3)});
     }
     return state;
   } catch (const json::exception& fault) {
-    return error{error_code::malformed_json, std::string{"a peer's message can't be read: "} + fault.what()};
+    return error{error_code::malformed_json, std::string{"malformed peer message: "} + fault.what()};
   }
 }
 
--- a/birchlever/controllers/peer_state.h
+++ b/birchlever/controllers/peer_state.h
@@ -1,4 +1,4 @@
-/// What daemons say of themselves to each other, and its bytes.
+/// The state that daemons report to each other, and its encoding.
 #pragma once
 
 #include <map>
@@ -13,35 +13,34 @@
 
 namespace birchlever {
 
-/// A daemon that follows the table of upstreams itself, as others tell of it.
-struct told_follower {
+/// A follower of the table of upstreams, as reported by any daemon.
+struct reported_follower {
   std::string vm_;
   std::string control_address_;
-  double cores_ = 0;      ///< Its share of a processor core; 0: not known.
-  milliseconds age_ = 0;  ///< ms since it said so.
+  double cores_ = 0;      ///< Its share of a processor core; 0 if unknown.
+  milliseconds age_ = 0;  ///< ms since it reported itself.
 };
 
-/// What one daemon says of itself.
+/// The reported state of one daemon.
 struct peer_state {
   std::string vm_;
-  std::optional<milliseconds>
-      store_response_age_;              ///< ms since the store last answered it; none when it never did.
-  std::int64_t configuration_ = 0;      ///< Version in force there.
-  std::string control_address_;         ///< Where it relays calls to the store, "ip:port".
-  std::map<std::string, int> running_;  ///< Requests at each upstream.
-  std::uint64_t allowance_ranges_ = 0;  ///< The ranges of allowances that it holds, a bit each.
-  std::vector<upstream_news> news_;  ///< What it just learned of upstreams: then nothing else is told. Empty
-                                     ///< in regular messages.
-  bool follows_ = false;  ///< Looks at the table of upstreams itself, and tells others what changes there.
-  std::string region_;    ///< Where it stands; empty where regions are not told apart.
-  double cores_ = 0;      ///< Its share of a processor core; 0: not told.
-  std::vector<told_follower> followers_;  ///< Others that follow, told on so that all know the same few.
+  std::optional<milliseconds> store_response_age_;  ///< ms since the last store response, if any.
+  std::int64_t configuration_ = 0;                  ///< Version of the configuration in force.
+  std::string control_address_;                     ///< "ip:port" at which it relays store calls.
+  std::map<std::string, int> running_;              ///< Requests in flight at each upstream.
+  std::uint64_t allowance_ranges_ = 0;              ///< The allowance ranges it holds, as a bit mask.
+  std::vector<upstream_news> health_reports_;  ///< Recent health reports of upstreams; a message with any has
+                                               ///< no other content. Empty in regular messages.
+  bool follows_ = false;  ///< Polls the table of upstreams in the store and serves its changes to peers.
+  std::string region_;    ///< Its region; empty if regions are not configured.
+  double cores_ = 0;      ///< Its share of a processor core; 0 if unknown.
+  std::vector<reported_follower> followers_;  ///< Other followers, forwarded to spread the same set.
 };
 
-/// The bytes of a message.
+/// Encodes a message as CBOR.
 [[nodiscard]] auto encode(const peer_state& state) -> std::string;
 
-/// Reads a message. Failures: malformed_json.
+/// Decodes a message. Failures: malformed_json.
 [[nodiscard]] auto decode_peer_state(std::string_view bytes) -> result<peer_state>;
 
 }  // namespace birchlever
--- a/birchlever/controllers/peer_views.cpp
+++ b/birchlever/controllers/peer_views.cpp
@@ -6,55 +6,55 @@
 
 namespace birchlever {
 
-auto peer_views::record_state(peer_state said) -> void {
-  auto vm = said.vm_;
-  for (const auto& one : said.followers_) {
-    note_follower(one);
+auto peer_views::record_state(peer_state state) -> void {
+  auto vm = state.vm_;
+  for (const auto& follower : state.followers_) {
+    record_follower(follower);
   }
-  if (said.follows_) {
-    note_follower({vm, said.control_address_, said.cores_, 0});
+  if (state.follows_) {
+    record_follower({vm, state.control_address_, state.cores_, 0});
   } else {
     followers_.erase(vm);
   }
-  heard_[vm] = {std::move(said), clock_->now()};
+  states_[vm] = {std::move(state), clock_->now()};
 }
 
-auto peer_views::note_follower(const told_follower& told) -> void {
-  auto at = clock_->now() - told.age_;
-  auto known = followers_.find(told.vm_);
-  if (told.vm_ != vm_ && (known == followers_.end() || known->second.at_ < at)) {
-    followers_[told.vm_] = {told, at};
+auto peer_views::record_follower(const reported_follower& follower) -> void {
+  auto at = clock_->now() - follower.age_;
+  auto known = followers_.find(follower.vm_);
+  if (follower.vm_ != vm_ && (known == followers_.end() || known->second.reported_at_ < at)) {
+    followers_[follower.vm_] = {follower, at};
   }
 }
 
-auto peer_views::heard_at(const std::string& vm) const -> std::optional<milliseconds> {
-  auto found = heard_.find(vm);
-  return found == heard_.end() ? std::nullopt : std::optional{found->second.at_};
+auto peer_views::last_seen(const std::string& vm) const -> std::optional<milliseconds> {
+  auto found = states_.find(vm);
+  return found == states_.end() ? std::nullopt : std::optional{found->second.received_at_};
 }
 
-auto peer_views::preferred_for(std::string_view subject) const -> bool {
+auto peer_views::preferred_for(std::string_view key) const -> bool {
   auto now = clock_->now();
-  auto own = rendezvous_weight(vm_, subject);
-  return std::all_of(heard_.begin(), heard_.end(), [&](const auto& entry) {
-    auto fresh = now - entry.second.at_ < fresh_;
-    return !fresh || rendezvous_weight(entry.first, subject) < own;
+  auto own = rendezvous_weight(vm_, key);
+  return std::all_of(states_.begin(), states_.end(), [&](const auto& entry) {
+    auto is_current = now - entry.second.received_at_ < max_age_;
+    return !is_current || rendezvous_weight(entry.first, key) < own;
   });
 }
 
-auto peer_views::find_peer_with_store_contact_since(milliseconds moment, const std::string& region) const
+auto peer_views::find_peer_with_store_contact_since(milliseconds time, const std::string& region) const
     -> const peer_state* {
   auto now = clock_->now();
-  auto latest = moment;
+  auto latest = time;
   const auto* best = static_cast<const peer_state*>(nullptr);
-  for (const auto& [vm, heard] : heard_) {
-    auto elsewhere = !region.empty() && heard.state_.region_ != region;
-    if (now - heard.at_ >= fresh_ || !heard.state_.store_response_age_ || elsewhere) {
+  for (const auto& [vm, received] : states_) {
+    auto other_region = !region.empty() && received.state_.region_ != region;
+    if (now - received.received_at_ >= max_age_ || !received.state_.store_response_age_ || other_region) {
       continue;
     }
-    auto answered_at = heard.at_ - *heard.state_.store_response_age_;
+    auto answered_at = received.received_at_ - *received.state_.store_response_age_;
     if (answered_at > latest) {
       latest = answered_at;
-      best = &heard.state_;
+      best = &received.state_;
     }
   }
   return best;
@@ -63,11 +63,11 @@
 auto peer_views::running_elsewhere() const -> std::unordered_map<std::string, double> {
   auto now = clock_->now();
   auto total = std::unordered_map<std::string, double>{};
-  for (const auto& [vm, heard] : heard_) {
-    if (now - heard.at_ >= fresh_) {
+  for (const auto& [vm, received] : states_) {
+    if (now - received.received_at_ >= max_age_) {
       continue;
     }
-    for (const auto& [upstream, running] : heard.state_.running_) {
+    for (const auto& [upstream, running] : received.state_.running_) {
       total[upstream] += running;
     }
   }
@@ -75,47 +75,48 @@
 }
 
 auto peer_views::holder_of_allowance(int range) const -> std::optional<std::string> {
-  const auto* newest = static_cast<const heard_state*>(nullptr);
-  for (const auto& [vm, heard] : heard_) {
-    auto holds = (heard.state_.allowance_ranges_ >> static_cast<unsigned>(range)) & 1U;
-    if (holds != 0 && (newest == nullptr || heard.at_ > newest->at_)) {
-      newest = &heard;
+  const auto* latest = static_cast<const received_state*>(nullptr);
+  for (const auto& [vm, received] : states_) {
+    auto holds = (received.state_.allowance_ranges_ >> static_cast<unsigned>(range)) & 1U;
+    if (holds != 0 && (latest == nullptr || received.received_at_ > latest->received_at_)) {
+      latest = &received;
     }
   }
-  return newest == nullptr ? std::nullopt : std::optional{newest->state_.control_address_};
+  return latest == nullptr ? std::nullopt : std::optional{latest->state_.control_address_};
 }
 
-auto peer_views::addresses_within(milliseconds span) const -> std::map<std::string, std::string> {
+auto peer_views::addresses_within(milliseconds window) const -> std::map<std::string, std::string> {
   auto addresses = std::map<std::string, std::string>{};
   auto now = clock_->now();
-  for (const auto& [vm, heard] : heard_) {
-    if (now - heard.at_ <= span) {
-      addresses[vm] = heard.state_.control_address_;
+  for (const auto& [vm, received] : states_) {
+    if (now - received.received_at_ <= window) {
+      addresses[vm] = received.state_.control_address_;
     }
   }
   return addresses;
 }
 
-auto peer_views::followers_within(milliseconds span) const -> std::vector<told_follower> {
-  auto lately = std::vector<told_follower>{};
+auto peer_views::followers_within(milliseconds window) const -> std::vector<reported_follower> {
+  auto recent = std::vector<reported_follower>{};
   auto now = clock_->now();
   for (const auto& [vm, known] : followers_) {
-    if (now - known.at_ <= span) {
-      lately.push_back(known.told_);
-      lately.back().age_ = now - known.at_;
+    if (now - known.reported_at_ <= window) {
+      recent.push_back(known.reported_);
+      recent.back().age_ = now - known.reported_at_;
     }
   }
-  return lately;
+  return recent;
 }
 
-auto peer_views::seen_within(milliseconds span) const -> std::size_t {
+auto peer_views::seen_within(milliseconds window) const -> std::size_t {
   auto now = clock_->now();
-  return static_cast<std::size_t>(std::count_if(
-      heard_.begin(), heard_.end(), [&](const auto& entry) { return now - entry.second.at_ < span; }));
+  return static_cast<std::size_t>(std::count_if(states_.begin(), states_.end(), [&](const auto& entry) {
+    return now - entry.second.received_at_ < window;
+  }));
 }
 
 auto peer_views::recent_peers() const -> std::size_t {
-  return seen_within(fresh_);
+  return seen_within(max_age_);
 }
 
 }  // namespace birchlever
--- a/birchlever/controllers/peer_views.h
+++ b/birchlever/controllers/peer_views.h
@@ -1,4 +1,4 @@
-/// What this daemon believes of its peers, from their latest words. Words that are too old count no more.
+/// The latest states received from peers.
 #pragma once
 
 #include <map>
@@ -12,68 +12,68 @@
 
 namespace birchlever {
 
-/// A function of what was heard and of the time; no network.
+/// Has no I/O; depends only on the received states and the clock.
 class peer_views {
  public:
-  /// `vm` is this daemon; words older than `fresh` ms count no more.
-  peer_views(std::string vm, milliseconds fresh, std::shared_ptr<const clock_interface> clock)
-      : vm_{std::move(vm)}, fresh_{fresh}, clock_{std::move(clock)} {}
+  /// `vm` is this daemon's VM; states older than `max_age` ms are ignored.
+  peer_views(std::string vm, milliseconds max_age, std::shared_ptr<const clock_interface> clock)
+      : vm_{std::move(vm)}, max_age_{max_age}, clock_{std::move(clock)} {}
 
-  /// A peer said this now.
-  auto record_state(peer_state said) -> void;
+  /// Records a state received now.
+  auto record_state(peer_state state) -> void;
 
-  /// When a peer was last heard, on our clock; none when never.
-  [[nodiscard]] auto heard_at(const std::string& vm) const -> std::optional<milliseconds>;
+  /// Returns when a peer was last seen, on the local clock; none if never.
+  [[nodiscard]] auto last_seen(const std::string& vm) const -> std::optional<milliseconds>;
 
-  /// The peer is gone for good.
-  auto forget(const std::string& vm) -> void { heard_.erase(vm); }
+  /// Forgets a peer that was removed from the fleet.
+  auto forget(const std::string& vm) -> void { states_.erase(vm); }
 
-  /// The peer that the store answered last, if that was after the given moment of our clock; else none. Of
-  /// one region only, when that is not empty: what is relayed may have to stay there.
-  [[nodiscard]] auto find_peer_with_store_contact_since(milliseconds moment,
+  /// Returns the peer with the latest store response, if that was received after the given time of the local
+  /// clock; else null. Only peers of the given region are considered, unless it is empty.
+  [[nodiscard]] auto find_peer_with_store_contact_since(milliseconds time,
                                                         const std::string& region = {}) const
       -> const peer_state*;
 
-  /// Requests that peers have running at each upstream, by their latest words.
+  /// Returns the requests that peers have in flight at each upstream.
   [[nodiscard]] auto running_elsewhere() const -> std::unordered_map<std::string, double>;
 
-  /// True when this daemon has the highest rendezvous weight for a subject among itself and the peers heard
-  /// of.
-  [[nodiscard]] auto preferred_for(std::string_view subject) const -> bool;
+  /// Returns true if this daemon has the highest rendezvous weight for a key among itself and the current
+  /// peers.
+  [[nodiscard]] auto preferred_for(std::string_view key) const -> bool;
 
-  /// Control addresses of the peers heard of within so many ms, by VM.
-  [[nodiscard]] auto addresses_within(milliseconds span) const -> std::map<std::string, std::string>;
+  /// Returns the control addresses of the peers seen within `window` ms, by VM.
+  [[nodiscard]] auto addresses_within(milliseconds window) const -> std::map<std::string, std::string>;
 
-  /// Peers that follow the table of upstreams themselves and said so within so many ms, to this daemon or to
-  /// one that told of it.
-  [[nodiscard]] auto followers_within(milliseconds span) const -> std::vector<told_follower>;
+  /// Returns the followers that reported themselves within `window` ms, directly or through another peer.
+  [[nodiscard]] auto followers_within(milliseconds window) const -> std::vector<reported_follower>;
 
-  /// The control address of the peer that last said it holds a range of allowances; it may hold it no more.
+  /// Returns the control address of the peer that most recently reported holding an allowance range. It may
+  /// no longer hold it.
   [[nodiscard]] auto holder_of_allowance(int range) const -> std::optional<std::string>;
 
-  /// Peers heard of within so many ms.
-  [[nodiscard]] auto seen_within(milliseconds span) const -> std::size_t;
+  /// Returns the number of peers seen within `window` ms.
+  [[nodiscard]] auto seen_within(milliseconds window) const -> std::size_t;
 
-  /// Peers heard of lately.
+  /// Returns the number of peers whose state is current.
   [[nodiscard]] auto recent_peers() const -> std::size_t;
 
  private:
-  struct heard_state {
+  struct received_state {
     peer_state state_;
-    milliseconds at_ = 0;
+    milliseconds received_at_ = 0;
   };
 
   std::string vm_;
-  milliseconds fresh_;
+  milliseconds max_age_;
   std::shared_ptr<const clock_interface> clock_;
   struct known_follower {
-    told_follower told_;
-    milliseconds at_ = 0;  ///< When it said so.
+    reported_follower reported_;
+    milliseconds reported_at_ = 0;  ///< When it reported itself, on the local clock.
   };
 
-  auto note_follower(const told_follower& told) -> void;
+  auto record_follower(const reported_follower& follower) -> void;
 
-  std::map<std::string, heard_state> heard_;
+  std::map<std::string, received_state> states_;
   std::map<std::string, known_follower> followers_;  ///< By VM.
 };
 
--- a/birchlever/controllers/table_follower.cpp
+++ b/birchlever/controllers/table_follower.cpp
@@ -7,7 +7,7 @@
 namespace birchlever {
 namespace {
 
-constexpr auto behind_key = '\x01';  // Makes the next key after a given one.
+constexpr auto successor_suffix = '\x01';  // Appended to a key to get its successor.
 
 }  // namespace
 
@@ -27,44 +27,44 @@
 auto table_follower::follow() -> task<> {
   auto self = shared_from_this();
   while (true) {
-    auto good = false;
+    auto succeeded = false;
     if (scan_needed_) {
-      good = co_await scan();
+      succeeded = co_await scan();
     } else {
-      good = co_await look(settings_.wait_);
+      succeeded = co_await poll(settings_.wait_);
     }
-    co_await pause_for(*loop_, good ? settings_.settle_ : settings_.retry_gap_);
+    co_await pause_for(*loop_, succeeded ? settings_.min_poll_interval_ : settings_.retry_interval_);
   }
 }
 
-auto table_follower::answered() -> void {
-  if (std::exchange(lost_, false)) {
-    regained_at_ = clock_.now();
-    log_event(log_level::info, "store_regained", {{"table", settings_.table_}, {"version", version_}});
+auto table_follower::record_response() -> void {
+  if (std::exchange(store_unreachable_, false)) {
+    reconnected_at_ = clock_.now();
+    log_event(log_level::info, "store_reachable_again", {{"table", settings_.table_}, {"version", version_}});
   }
 }
 
-auto table_follower::tell_answered(milliseconds began_at) -> void {
+auto table_follower::notify_verified(milliseconds started_at) -> void {
   if (events_.verified_) {
-    events_.verified_(began_at);
+    events_.verified_(started_at);
   }
 }
 
 auto table_follower::poll_now() -> task<bool> {
   auto self = shared_from_this();
-  auto good = false;
+  auto succeeded = false;
   if (!scan_needed_) {
-    good = co_await look(0);
+    succeeded = co_await poll(0);
   }
   if (scan_needed_) {
-    good = co_await scan();
+    succeeded = co_await scan();
   }
-  co_return good;
+  co_return succeeded;
 }
 
-auto table_follower::unanswered(const error& reason) -> void {
-  if (!std::exchange(lost_, true)) {
-    log_event(log_level::warning, "store_lost",
+auto table_follower::record_failure(const error& reason) -> void {
+  if (!std::exchange(store_unreachable_, true)) {
+    log_event(log_level::warning, "store_unreachable",
               {{"table", settings_.table_},
                {"version", version_},
                {"reason", std::string{name_of(reason.code_)}},
@@ -75,14 +75,14 @@
 auto table_follower::read_page(const row_range& range) -> task<std::optional<row_page>> {
   auto page = co_await rows_->read(range, settings_.scan_limit_);
   if (!ok(page)) {
-    unanswered(failure(page));
+    record_failure(failure(page));
     co_return std::nullopt;
   }
-  answered();
+  record_response();
   if (value(page).version_ < version_) {
-    log_event(log_level::warning, "scan_behind",
+    log_event(log_level::warning, "scan_stale",
               {{"table", settings_.table_}, {"version", value(page).version_}, {"known", version_}});
-    co_await pause_for(*loop_, settings_.stale_gap_);
+    co_await pause_for(*loop_, settings_.stale_retry_interval_);
     co_return std::nullopt;
   }
   co_return std::move(value(page));
@@ -90,7 +90,7 @@
 
 auto table_follower::scan() -> task<bool> {
   auto range = row_range{settings_.table_, "", "", ""};
-  auto began_at = clock_.now();
+  auto started_at = clock_.now();
   auto version = std::optional<std::int64_t>{};
   auto scanned = std::size_t{0};
   auto more = true;
@@ -104,46 +104,46 @@
     }
     version = std::min(version.value_or(page->version_), page->version_);
     events_.page_scanned_(page->rows_);
-    begun_ = true;
+    first_page_read_ = true;
     scanned += page->rows_.size();
-    auto enough = settings_.most_scanned_ > 0 && scanned >= settings_.most_scanned_;
-    more = page->more_ && !page->rows_.empty() && !enough;
+    auto limit_reached = settings_.max_scan_rows_ > 0 && scanned >= settings_.max_scan_rows_;
+    more = page->more_ && !page->rows_.empty() && !limit_reached;
     if (more) {
-      range.from_ = page->rows_.back().key_.key_ + behind_key;
+      range.from_ = page->rows_.back().key_.key_ + successor_suffix;
     }
   }
   version_ = *version;
   scan_needed_ = false;
   primed_ = true;
   events_.scan_ended_(version_);
-  tell_answered(began_at);
+  notify_verified(started_at);
   co_return true;
 }
 
-auto table_follower::look(milliseconds wait) -> task<bool> {
-  auto began_at = clock_.now();
-  auto waiting = settings_.changes_ ? settings_.changes_(settings_.table_, version_)
+auto table_follower::poll(milliseconds wait) -> task<bool> {
+  auto started_at = clock_.now();
+  auto pending = settings_.changes_ ? settings_.changes_(settings_.table_, version_)
                                     : rows_->changes(settings_.table_, version_, wait);
-  auto page = co_await std::move(waiting);
+  auto page = co_await std::move(pending);
   if (!ok(page)) {
     if (failure(page).code_ == error_code::store_conflict) {
-      log_event(log_level::info, "feed_lost", {{"table", settings_.table_}, {"version", version_}});
+      log_event(log_level::info, "feed_history_lost", {{"table", settings_.table_}, {"version", version_}});
       scan_needed_ = true;
       co_return true;
     }
-    unanswered(failure(page));
+    record_failure(failure(page));
     co_return false;
   }
-  answered();
+  record_response();
   const auto& read = value(page);
   if (read.version_ < version_) {
-    co_return false;  // An answer from before what is known.
+    co_return false;  // Stale response.
   }
   version_ = read.version_;
   if (!read.rows_.empty()) {
     events_.changes_(read.rows_);
   }
-  tell_answered(began_at);
+  notify_verified(started_at);
   co_return true;
 }
 
--- a/birchlever/controllers/table_follower.h
+++ b/birchlever/controllers/table_follower.h
@@ -1,5 +1,5 @@
-/// Follows a table of the store: a scan first, then its feed, and a scan again when history was lost.
-/// The pages of a scan are told as they come, so that what has come can be used before the last one has.
+/// Follows a table of the store: scans it once, then reads its change feed, and scans again if history was
+/// lost. Pages of a scan are delivered as they arrive.
 #pragma once
 
 #include <functional>
@@ -12,61 +12,60 @@
 
 namespace birchlever {
 
-/// How a table is followed.
+/// Settings of table_follower.
 struct table_follower_settings {
   std::string table_;
-  milliseconds wait_ =
-      2000;  ///< ms that one look at the feed is held by the store; a lost one is noticed soon after.
-  milliseconds scan_limit_ = 1500;  ///< ms for one page of a scan.
-  std::size_t most_scanned_ = 0;    ///< Rows after which a scan ends, though there are more; 0: none. The
-                                    ///< others become known as they change.
-  milliseconds retry_gap_ = 300;    ///< ms between tries while the store does not answer.
-  milliseconds stale_gap_ = 200;    ///< ms until a scan is repeated that was older than what is known.
-  milliseconds settle_ = 20;        ///< ms between two looks, so that changes in a row come together.
+  milliseconds wait_ = 2000;        ///< ms for which the store holds one long poll of the feed.
+  milliseconds scan_limit_ = 1500;  ///< Timeout in ms of one page of a scan.
+  /// Rows after which a scan ends early; 0 for no limit. The remaining rows become known when they change.
+  std::size_t max_scan_rows_ = 0;
+  milliseconds retry_interval_ = 300;        ///< ms between attempts while the store does not respond.
+  milliseconds stale_retry_interval_ = 200;  ///< ms until a scan older than the known version is repeated.
+  milliseconds min_poll_interval_ = 20;      ///< ms between two polls; batches changes in quick succession.
 
   /// Waits for changes of a table after a version.
   using changes_function = std::function<task<result<row_page>>(std::string table, std::int64_t after)>;
-  changes_function changes_;  ///< Instead of the store's own feed, with its failures; may be empty.
+  changes_function changes_;  ///< Replaces the store's own feed, with the same failures; may be empty.
 };
 
-/// What a follower tells.
+/// Callbacks of a follower.
 struct table_follower_events {
-  /// A scan begins: what it does not tell until its end is gone.
+  /// A scan starts: rows that it does not deliver until its end no longer exist.
   std::function<void()> scan_started_;
   /// Rows of one page of a scan.
   std::function<void(const std::vector<stored_row>&)> page_scanned_;
-  /// All pages of a scan were told; the version is the oldest that one of them reflects.
+  /// All pages of a scan were delivered; the version is the lowest of all pages.
   std::function<void(std::int64_t)> scan_ended_;
   /// Rows that changed since, in order.
   std::function<void(const std::vector<stored_row>&)> changes_;
-  /// A scan or a look that began at this moment of our clock was answered and told: what is known here was
-  /// true then. May be empty.
+  /// The response to a scan or poll that started at the given time of the local clock was delivered: the rows
+  /// known here were current at that time. May be empty.
   std::function<void(milliseconds)> verified_;
 };
 
-/// For coroutines of one loop. What it tells never goes back in time.
+/// Used by coroutines of one event loop. The delivered versions never decrease.
 class table_follower : public std::enable_shared_from_this<table_follower> {
  public:
-  /// Starts to follow at once.
+  /// Creates a follower and starts it.
   static auto create(event_loop& loop, std::shared_ptr<row_store_interface> rows,
                      const table_follower_settings& settings, table_follower_events events)
       -> std::shared_ptr<table_follower>;
 
-  /// Asks once, at once, whether anything has changed, beside a look that the store may hold or lose. True
-  /// when it was answered.
+  /// Polls the feed once without waiting, independently of a long poll in progress. Returns true if the store
+  /// responded.
   auto poll_now() -> task<bool>;
 
-  /// True once a first scan was told.
+  /// Returns true once a scan was completed.
   [[nodiscard]] auto primed() const -> bool { return primed_; }
 
-  /// True once a page of a first scan was told.
-  [[nodiscard]] auto begun() const -> bool { return begun_; }
+  /// Returns true once a page of the first scan was delivered.
+  [[nodiscard]] auto first_page_read() const -> bool { return first_page_read_; }
 
-  /// When the store answered again after it had not, on our clock; 0 when it never failed.
-  [[nodiscard]] auto regained_at() const -> milliseconds { return regained_at_; }
+  /// Returns when the store first responded after a failure, on the local clock; 0 if it never failed.
+  [[nodiscard]] auto reconnected_at() const -> milliseconds { return reconnected_at_; }
 
-  /// True while the last look failed.
-  [[nodiscard]] auto lost() const -> bool { return lost_; }
+  /// Returns true while the last request failed.
+  [[nodiscard]] auto store_unreachable() const -> bool { return store_unreachable_; }
 
  private:
   table_follower(event_loop& loop, std::shared_ptr<row_store_interface> rows,
@@ -75,10 +74,10 @@
   auto follow() -> task<>;
   auto scan() -> task<bool>;
   auto read_page(const row_range& range) -> task<std::optional<row_page>>;
-  auto look(milliseconds wait) -> task<bool>;
-  auto answered() -> void;
-  auto tell_answered(milliseconds began_at) -> void;
-  auto unanswered(const error& reason) -> void;
+  auto poll(milliseconds wait) -> task<bool>;
+  auto record_response() -> void;
+  auto notify_verified(milliseconds started_at) -> void;
+  auto record_failure(const error& reason) -> void;
 
   event_loop* loop_;
   std::shared_ptr<row_store_interface> rows_;
@@ -86,11 +85,11 @@
   table_follower_events events_;
   steady_clock clock_;
   std::int64_t version_ = 0;
-  milliseconds regained_at_ = 0;
+  milliseconds reconnected_at_ = 0;
   bool scan_needed_ = true;
   bool primed_ = false;
-  bool begun_ = false;
-  bool lost_ = false;
+  bool first_page_read_ = false;
+  bool store_unreachable_ = false;
 };
 
 }  // namespace birchlever
--- a/unit_tests/controllers/budget_transfer_test.cpp
+++ b/unit_tests/controllers/budget_transfer_test.cpp
@@ -1,4 +1,4 @@
-/// What daemons say to each other about drawn budgets.
+/// Guards the transfer of drawn budget tokens and allowances between daemons.
 #include "birchlever/controllers/budget_transfer.h"
 
 #include <catch2/catch.hpp>
@@ -13,27 +13,28 @@
 namespace birchlever {
 namespace {
 
-constexpr auto patience = milliseconds{500};
+constexpr auto max_wait = milliseconds{500};
 
-/// A daemon that drew a budget of 400 for turns of 40 at most, and one that asks it.
+/// A daemon that drew a budget of 400 for turns of at most 40, and one that requests tokens from it.
 struct transfer_fixture {
   transfer_fixture() {
     auto store_settings = program_store_settings{};
     store_settings.daemon_ = "vm-1@7";
     store_settings.draw_ahead_ = 1.0;
     holder_ = value(program_store::create(loop_, rows_, store_settings));
-    auto drawn = run_to_end(loop_, holder_->draw_budget({"p", "t1", "", 400, 40, ""}, patience));
+    auto drawn = run_to_end(loop_, holder_->draw_budget({"p", "t1", "", 400, 40, ""}, max_wait));
     REQUIRE(ok(drawn));
     auto settings = budget_transfer_settings{};
     settings.daemon_ = "vm-1@7";
-    pages_ = budget_transfer::create(loop_, settings, [] { return std::map<std::string, std::string>{}; });
-    auto page = [this](const http_request& request) -> task<http_response> {
-      co_return pages_->answer(*holder_, request);
+    holder_endpoint_ =
+        budget_transfer::create(loop_, settings, [] { return std::map<std::string, std::string>{}; });
+    auto handle = [this](const http_request& request) -> task<http_response> {
+      co_return holder_endpoint_->answer(*holder_, request);
     };
     address_ = "127.0.0.1:" + std::to_string(free_port(loop_));
-    listener_ = value(http_listener::create(loop_, address_, serve_pages(page)));
+    listener_ = value(http_listener::create(loop_, address_, serve_pages(handle)));
     settings.daemon_ = "vm-2@9";
-    asker_ = budget_transfer::create(loop_, settings, [this] {
+    requester_ = budget_transfer::create(loop_, settings, [this] {
       return std::map<std::string, std::string>{{"vm-1", address_}};
     });
   }
@@ -44,64 +45,65 @@
   }
 
   auto ask(std::vector<std::string> holders, std::int64_t tokens) -> handed_tokens {
-    return run_to_end(loop_, asker_->ask("p", std::move(holders), tokens));
+    return run_to_end(loop_, requester_->ask("p", std::move(holders), tokens));
   }
 
   event_loop loop_{1};
-  std::string address_;  ///< Of the holder's pages.
+  std::string address_;  ///< Of the holder's HTTP endpoint.
   std::shared_ptr<memory_row_store> rows_ = std::make_shared<memory_row_store>(loop_);
   std::shared_ptr<program_store> holder_;
-  std::shared_ptr<budget_transfer> pages_;
-  std::shared_ptr<budget_transfer> asker_;
+  std::shared_ptr<budget_transfer> holder_endpoint_;
+  std::shared_ptr<budget_transfer> requester_;
   std::shared_ptr<http_listener> listener_;
 };
 
 auto status_of(const transfer_fixture& fixture, const std::string& target) -> unsigned {
   auto request = http_request{http::verb::post, target, 11};
-  return fixture.pages_->answer(*fixture.holder_, request).result_int();
+  return fixture.holder_endpoint_->answer(*fixture.holder_, request).result_int();
 }
 
 }  // namespace
 
-TEST_CASE("a holder hands over what is asked, and tells later askers to whom") {
+TEST_CASE("a holder transfers the requested tokens and names the recipient to later requesters") {
   auto fixture = transfer_fixture{};
   auto first = fixture.ask({"vm-1@7"}, 300);
   CHECK(first.tokens_ == 300);
   CHECK_FALSE(first.unaccounted_);
   auto second = fixture.ask({"vm-1@7"}, 300);
-  CHECK(second.tokens_ == 20);  // 360 were drawn ahead, 40 of them for the turn that runs.
+  CHECK(second.tokens_ == 20);  // 360 were drawn ahead, 40 of them for the turn in progress.
   CHECK(second.moved_to_ == std::vector<std::string>{"vm-2@9"});
 }
 
-TEST_CASE("a holder that was started anew, or is not there, leaves tokens unaccounted") {
+TEST_CASE("a holder that restarted or is not listed leaves tokens unaccounted") {
   auto fixture = transfer_fixture{};
   CHECK(fixture.ask({"vm-1@6"}, 40).unaccounted_);
   CHECK(fixture.ask({"vm-3@1"}, 40).unaccounted_);
   CHECK(fixture.ask({}, 40).tokens_ > 0);
 }
 
-TEST_CASE("a program goes beyond its budget once, through the daemon that holds its range") {
+TEST_CASE("a program exceeds its budget once, through the daemon that holds its allowance range") {
   auto fixture = transfer_fixture{};
   auto settings = allowance_settings{};
   settings.daemon_ = "vm-1@7";
   settings.look_gap_ = 3'600'000;
   auto always = [](std::string_view) { return true; };
   auto minute = [] { return milliseconds{60000}; };
-  auto held = value(allowance_ranges::create(fixture.loop_, fixture.rows_, settings, always, minute));
-  REQUIRE(run_to_end(fixture.loop_, held->look()));
-  auto nobody = [](int) { return std::optional<std::string>{}; };
-  fixture.pages_->set_allowances(held, nobody);
+  auto holder_ranges =
+      value(allowance_ranges::create(fixture.loop_, fixture.rows_, settings, always, minute));
+  REQUIRE(run_to_end(fixture.loop_, holder_ranges->look()));
+  auto no_holder = [](int) { return std::optional<std::string>{}; };
+  fixture.holder_endpoint_->set_allowances(holder_ranges, no_holder);
   settings.daemon_ = "vm-2@9";
-  auto none = value(allowance_ranges::create(fixture.loop_, fixture.rows_, settings, always, minute));
-  fixture.asker_->set_allowances(none, [&](int) { return std::optional{fixture.address_}; });
-  CHECK(run_to_end(fixture.loop_, fixture.asker_->ask_allowance("p", 40)) == 40);
-  CHECK(run_to_end(fixture.loop_, fixture.asker_->ask_allowance("p", 40)) == 0);
-  CHECK(run_to_end(fixture.loop_, fixture.pages_->ask_allowance("p", 40)) == 0);
-  fixture.asker_->set_allowances(none, nobody);
-  CHECK(run_to_end(fixture.loop_, fixture.asker_->ask_allowance("q", 40)) == 0);
+  auto no_ranges = value(allowance_ranges::create(fixture.loop_, fixture.rows_, settings, always, minute));
+  fixture.requester_->set_allowances(no_ranges, [&](int) { return std::optional{fixture.address_}; });
+  CHECK(run_to_end(fixture.loop_, fixture.requester_->ask_allowance("p", 40)) == 40);
+  CHECK(run_to_end(fixture.loop_, fixture.requester_->ask_allowance("p", 40)) == 0);
+  CHECK(run_to_end(fixture.loop_, fixture.holder_endpoint_->ask_allowance("p", 40)) == 0);
+  fixture.requester_->set_allowances(no_ranges, no_holder);
+  CHECK(run_to_end(fixture.loop_, fixture.requester_->ask_allowance("q", 40)) == 0);
 }
 
-TEST_CASE("a request for tokens that can't be read is refused") {
+TEST_CASE("a malformed request for tokens is rejected") {
   auto fixture = transfer_fixture{};
   CHECK(status_of(fixture, "/budget/p/forty/vm-2@9/") == 400);
   CHECK(status_of(fixture, "/budget/p/40") == 400);
--- a/unit_tests/controllers/central_grants_test.cpp
+++ b/unit_tests/controllers/central_grants_test.cpp
@@ -1,4 +1,5 @@
-/// Daemons on loopback that ask each other for places in accounts' allotments.
+/// Daemons on loopback that request slots in account allotments from each other. Guards against grants beyond
+/// the allotment and against lost requests while a grantor does not respond.
 #include "birchlever/controllers/central_grants.h"
 
 #include <catch2/catch.hpp>
@@ -49,8 +50,8 @@
   }
 
   auto claim(int index, const std::string& account = "a") -> allotment_verdict {
-    auto wanted = allotment_claim{account, limit_, false, 1, 0};
-    return run_to_end(loop_, daemons_[static_cast<std::size_t>(index)]->claim(std::move(wanted)));
+    auto requested = allotment_claim{account, limit_, false, 1, 0};
+    return run_to_end(loop_, daemons_[static_cast<std::size_t>(index)]->claim(std::move(requested)));
   }
 
   event_loop loop_{1};
@@ -61,15 +62,15 @@
 
 }  // namespace
 
-TEST_CASE("messages about allotments survive their bytes, and other bytes are a typed error") {
-  auto ask = allotment_ask{7, "a", true, 12.5, 900};
-  auto read = decode_allotment_message(encode(allotment_message{ask}));
+TEST_CASE("allotment messages are decoded as encoded, and malformed ones fail with malformed_json") {
+  auto request = allotment_request{7, "a", true, 12.5, 900};
+  auto read = decode_allotment_message(encode(allotment_message{request}));
   REQUIRE(ok(read));
-  CHECK(std::get<allotment_ask>(value(read)).account_ == "a");
-  CHECK(std::get<allotment_ask>(value(read)).program_requests_ == 12.5);
-  auto answer = decode_allotment_message(encode(allotment_message{allotment_answer{7, true, {true, 30, 0}}}));
-  REQUIRE(ok(answer));
-  CHECK(std::get<allotment_answer>(value(answer)).verdict_.wait_ == 30);
+  CHECK(std::get<allotment_request>(value(read)).account_ == "a");
+  CHECK(std::get<allotment_request>(value(read)).program_requests_ == 12.5);
+  auto reply = decode_allotment_message(encode(allotment_message{allotment_reply{7, true, {true, 30, 0}}}));
+  REQUIRE(ok(reply));
+  CHECK(std::get<allotment_reply>(value(reply)).decision_.wait_ == 30);
   auto debit = decode_allotment_message(encode(allotment_message{allotment_debit{"a", 3}}));
   REQUIRE(ok(debit));
   CHECK(std::get<allotment_debit>(value(debit)).tokens_ == 3);
@@ -78,21 +79,21 @@
   CHECK(failure(decode_allotment_message(std::string(1, '\x81'))).code_ == error_code::malformed_json);
 }
 
-TEST_CASE("wherever requests come in, together they get what the allotment holds") {
+TEST_CASE("requests at all daemons together get the allotment and no more") {
   auto fleet = granting_fleet{};
   auto clock = steady_clock{};
-  auto began = clock.now();
+  auto started_at = clock.now();
   auto granted = 0;
   for (auto number = 0; number < 60; ++number) {
     granted += fleet.claim(number % daemons).granted_ ? 1 : 0;
   }
-  auto passed = static_cast<double>(clock.now() - began) / 1000;
+  auto elapsed_s = static_cast<double>(clock.now() - started_at) / 1000;
   CHECK(granted >= 5);
-  auto longest_wait = static_cast<double>(allotment_bucket_settings{}.longest_wait_) / 1000;
-  CHECK(granted <= 5 + fleet.limit_.rate_per_s_ * (passed + longest_wait) + 1);
+  auto max_wait_s = static_cast<double>(allotment_bucket_settings{}.longest_wait_) / 1000;
+  CHECK(granted <= 5 + fleet.limit_.rate_per_s_ * (elapsed_s + max_wait_s) + 1);
 }
 
-TEST_CASE("a grantor that is gone is replaced by the next, and nobody waits for it for long") {
+TEST_CASE("an unresponsive grantor is replaced by the next in order, without falling back to equal shares") {
   auto fleet = granting_fleet{};
   auto order = grantor_order{grantor_order_settings{vm(0)}};
   order.set_members({vm(1), vm(2)});
@@ -101,7 +102,7 @@
     account = "account-" + std::to_string(number);
   }
   REQUIRE(fleet.claim(0, account).granted_);
-  fleet.addresses_[vm(2)] = free_endpoint(fleet.loop_);  // Nobody listens there.
+  fleet.addresses_[vm(2)] = free_endpoint(fleet.loop_);  // No socket is bound there.
   for (auto index = 0; index < 2; ++index) {
     auto others = fleet.addresses_;
     others.erase(vm(index));
@@ -112,14 +113,14 @@
   CHECK(fleet.daemons_[0]->fallback_decisions() == 0);
 }
 
-TEST_CASE("where nobody answers, equal shares hold") {
+TEST_CASE("equal shares apply when no grantor replies") {
   auto fleet = granting_fleet{};
-  auto lost = fleet.addresses_;
-  lost.erase(vm(0));
-  for (auto& [name, address] : lost) {
+  auto unreachable = fleet.addresses_;
+  unreachable.erase(vm(0));
+  for (auto& [name, address] : unreachable) {
     address = free_endpoint(fleet.loop_);
   }
-  fleet.daemons_[0]->set_members(lost);
+  fleet.daemons_[0]->set_members(unreachable);
   auto order = grantor_order{grantor_order_settings{vm(0)}};
   order.set_members({vm(1), vm(2)});
   auto account = std::string{"account-0"};
@@ -132,7 +133,7 @@
   CHECK(fleet.daemons_[0]->fallback_decisions() == 1);
 }
 
-TEST_CASE("a daemon that does not know the fleet yet assumes the largest") {
+TEST_CASE("a daemon that has not loaded the list of daemons assumes the largest fleet") {
   auto loop = event_loop{1};
   auto address = free_endpoint(loop);
   auto settings = central_grants_settings{};
@@ -144,18 +145,18 @@
   REQUIRE(ok(made));
   auto granted = 0;
   for (auto number = 0; number < 20; ++number) {
-    auto wanted = allotment_claim{"a", limit, false, 1, 0};
-    granted += run_to_end(loop, value(made)->claim(std::move(wanted))).granted_ ? 1 : 0;
+    auto requested = allotment_claim{"a", limit, false, 1, 0};
+    granted += run_to_end(loop, value(made)->claim(std::move(requested))).granted_ ? 1 : 0;
   }
   CHECK(granted == 1);  // 600 in five seconds over 350 daemons.
 }
 
-TEST_CASE("two daemons at one address are a typed failure") {
+TEST_CASE("binding an address in use fails with invalid_setting") {
   auto fleet = granting_fleet{};
   auto settings = central_grants_settings{};
   settings.vm_ = "vm-9";
-  const auto& taken = fleet.addresses_[vm(0)];
-  settings.address_ = taken.address().to_string() + ":" + std::to_string(taken.port());
+  const auto& used = fleet.addresses_[vm(0)];
+  settings.address_ = used.address().to_string() + ":" + std::to_string(used.port());
   auto made = central_grants::create(
       fleet.loop_, settings, [](const std::string&) { return std::nullopt; }, [] { return 1.0; });
   REQUIRE(!ok(made));
--- a/unit_tests/controllers/follower_test.cpp
+++ b/unit_tests/controllers/follower_test.cpp
@@ -1,4 +1,5 @@
-/// Tables are followed without going back, and upstreams that lapse with the store away get time to return.
+/// Guards table followers against going back in time, and upstreams against removal when their entries expire
+/// during an outage of the store.
 #include <catch2/catch.hpp>
 
 #include "birchlever/controllers/upstream_follower.h"
@@ -18,12 +19,12 @@
   return entry;
 }
 
-/// A follower of a store in memory.
+/// An upstream_follower of an in-memory store.
 struct follower_fixture {
-  explicit follower_fixture(milliseconds lapse_return = 150) {
+  explicit follower_fixture(milliseconds expiry_grace = 150) {
     rows_->put({"servers", "", "u1"}, "ready");
     follower_ =
-        upstream_follower::create(loop_, rows_, "servers", directory_, decode_test_entry, lapse_return);
+        upstream_follower::create(loop_, rows_, "servers", directory_, decode_test_entry, expiry_grace);
     run_for(60);
   }
 
@@ -41,7 +42,7 @@
 
 }  // namespace
 
-TEST_CASE("listed, changed and removed upstreams are known at once") {
+TEST_CASE("listed, changed and removed upstreams are applied to the directory") {
   auto fixture = follower_fixture{};
   REQUIRE(fixture.follower_->primed());
   REQUIRE(fixture.directory_->find("u1") != nullptr);
@@ -50,14 +51,14 @@
   fixture.run_for(100);
   REQUIRE(fixture.directory_->find("u2") != nullptr);
   REQUIRE_FALSE(fixture.directory_->find("u1")->takes_requests());
-  auto kept = fixture.directory_->find("u2");
+  auto removed = fixture.directory_->find("u2");
   fixture.rows_->remove({"servers", "", "u2"});
   fixture.run_for(100);
   REQUIRE(fixture.directory_->find("u2") == nullptr);
-  REQUIRE_FALSE(kept->takes_requests());
+  REQUIRE_FALSE(removed->takes_requests());
 }
 
-TEST_CASE("an entry that can't be read names no upstream to use, others hold, and it may be read again") {
+TEST_CASE("an undecodable entry removes its upstream only, until it can be decoded again") {
   auto fixture = follower_fixture{};
   fixture.rows_->put({"servers", "", "u2"}, "ready");
   fixture.rows_->put({"servers", "", "u1"}, "broken");
@@ -73,7 +74,7 @@
 }
 
 /// Load pattern: hundreds of daemons start at once before thousands of upstreams.
-TEST_CASE("a scan of a long table ends early, and the rest becomes known by its changes") {
+TEST_CASE("a scan of a long table ends early, and later rows become known when they change") {
   auto loop = event_loop{1};
   auto rows = std::make_shared<memory_row_store>(loop);
   for (auto number = 1000; number < 4000; ++number) {
@@ -81,16 +82,16 @@
   }
   auto known = std::set<std::string>{};
   auto ended = 0;
-  auto take = [&known](const std::vector<stored_row>& told) {
-    for (const auto& row : told) {
+  auto record = [&known](const std::vector<stored_row>& rows_read) {
+    for (const auto& row : rows_read) {
       known.insert(row.key_.key_);
     }
   };
   auto settings = table_follower_settings{};
   settings.table_ = "servers";
-  settings.most_scanned_ = 1200;
+  settings.max_scan_rows_ = 1200;
   auto events =
-      table_follower_events{[] {}, take, [&ended](std::int64_t /*version*/) { ++ended; }, take, nullptr};
+      table_follower_events{[] {}, record, [&ended](std::int64_t /*version*/) { ++ended; }, record, nullptr};
   auto follower = table_follower::create(loop, rows, settings, std::move(events));
   run_loop_for(loop, 100);
   CHECK(ended == 1);
@@ -101,7 +102,7 @@
   CHECK(known.count("u3999") == 1);
 }
 
-TEST_CASE("forgotten history leads to a new scan that finds what was missed") {
+TEST_CASE("lost history leads to a new scan that finds the missed changes") {
   auto fixture = follower_fixture{};
   fixture.rows_->faults().history_gone_ = true;
   fixture.rows_->remove({"servers", "", "u1"});
@@ -111,24 +112,24 @@
   REQUIRE(fixture.directory_->find("u2") != nullptr);
 }
 
-TEST_CASE("an upstream that lapsed while the store was away is kept for a while after its return") {
+TEST_CASE("an upstream that expired during a store outage is kept for a grace period after it") {
   auto fixture = follower_fixture{};
   fixture.rows_->put({"servers", "", "u2"}, "ready");
   fixture.run_for(50);
   fixture.rows_->faults().down_ = true;
-  fixture.rows_->remove({"servers", "", "u1"});  // Wakes the look under way, which still succeeds.
+  fixture.rows_->remove({"servers", "", "u1"});  // Wakes the poll in flight, which still succeeds.
   fixture.rows_->put({"servers", "", "u1"}, "ready");
   fixture.run_for(400);
-  REQUIRE(fixture.follower_->lost());
+  REQUIRE(fixture.follower_->store_unreachable());
   fixture.rows_->remove({"servers", "", "u1"});
   fixture.rows_->remove({"servers", "", "u2"});
   fixture.rows_->faults().down_ = false;
   auto clock = steady_clock{};
-  auto give_up = clock.now() + 2000;
-  while (fixture.follower_->lost() && clock.now() < give_up) {
+  auto deadline = clock.now() + 2000;
+  while (fixture.follower_->store_unreachable() && clock.now() < deadline) {
     fixture.run_for(10);
   }
-  REQUIRE(fixture.directory_->find("u1") != nullptr);  // Lapsed, not yet given up.
+  REQUIRE(fixture.directory_->find("u1") != nullptr);  // Expired, not yet removed.
   fixture.rows_->put({"servers", "", "u1"}, "ready");
   fixture.run_for(500);
   REQUIRE(fixture.directory_->find("u1") != nullptr);
--- a/unit_tests/controllers/peer_exchange_test.cpp
+++ b/unit_tests/controllers/peer_exchange_test.cpp
@@ -1,4 +1,4 @@
-/// Daemons hear of each other's store, configuration and load.
+/// Guards the exchange of state and health reports between daemons.
 #include "birchlever/controllers/peer_exchange.h"
 
 #include <catch2/catch.hpp>
@@ -14,65 +14,66 @@
 }
 
 auto join(event_loop& loop, const std::shared_ptr<memory_row_store>& rows, const std::string& vm,
-          peer_state said) -> std::shared_ptr<peer_exchange> {
+          peer_state state) -> std::shared_ptr<peer_exchange> {
   auto settings = peer_exchange_settings{};
   settings.vm_ = vm;
   settings.address_ = free_udp_address(loop);
   settings.send_interval_ = 20;
-  settings.list_gap_ = 50;
+  settings.list_interval_ = 50;
   settings.max_state_age_ = 300;
-  said.vm_ = vm;
-  auto joined = peer_exchange::create(loop, rows, settings, [said] { return said; });
+  state.vm_ = vm;
+  auto joined = peer_exchange::create(loop, rows, settings, [state] { return state; });
   REQUIRE(ok(joined));
   return value(joined);
 }
 
 }  // namespace
 
-TEST_CASE("a message survives its bytes, and other bytes are a typed error") {
+TEST_CASE("a peer message is decoded as encoded, and malformed ones fail with malformed_json") {
   auto state = peer_state{"vm-1", 20, 7, "10.0.0.1:80", {{"u1", 3}}, 5, {{"u2", true}}, true};
   auto decoded = decode_peer_state(encode(state));
   REQUIRE(ok(decoded));
   REQUIRE(value(decoded).running_ == state.running_);
   REQUIRE(value(decoded).configuration_ == 7);
   REQUIRE(value(decoded).allowance_ranges_ == 5);
-  REQUIRE(value(decoded).news_.at(0).id_ == "u2");
-  REQUIRE(value(decoded).news_.at(0).failed_);
+  REQUIRE(value(decoded).health_reports_.at(0).id_ == "u2");
+  REQUIRE(value(decoded).health_reports_.at(0).failed_);
   REQUIRE(value(decoded).store_response_age_ == 20);
   REQUIRE(value(decoded).follows_);
   REQUIRE(failure(decode_peer_state("nonsense")).code_ == error_code::malformed_json);
   REQUIRE(failure(decode_peer_state("")).code_ == error_code::malformed_json);
 }
 
-TEST_CASE("peers that found each other in the store share what they know") {
+TEST_CASE("peers listed in the store exchange state and health reports") {
   auto loop = event_loop{1};
   auto rows = std::make_shared<memory_row_store>(loop);
-  auto one = join(loop, rows, "vm-1", {"", 50, 9, "10.0.0.1:80", {{"u1", 3}}, {}});
-  auto two = join(loop, rows, "vm-2", {"", std::nullopt, 4, "", {{"u1", 2}, {"u2", 1}}, {}});
+  auto first = join(loop, rows, "vm-1", {"", 50, 9, "10.0.0.1:80", {{"u1", 3}}, {}});
+  auto second = join(loop, rows, "vm-2", {"", std::nullopt, 4, "", {{"u1", 2}, {"u2", 1}}, {}});
   auto clock = steady_clock{};
-  auto give_up = clock.now() + 4000;
-  while ((one->views().recent_peers() == 0 || two->views().recent_peers() == 0) && clock.now() < give_up) {
+  auto deadline = clock.now() + 4000;
+  while ((first->views().recent_peers() == 0 || second->views().recent_peers() == 0) &&
+         clock.now() < deadline) {
     loop.run_for(std::chrono::milliseconds{20});
     loop.restart();
   }
-  REQUIRE(two->views().find_peer_with_store_contact_since(clock.now() - 1000)->vm_ == "vm-1");
-  REQUIRE(two->views().find_peer_with_store_contact_since(clock.now() - 30) == nullptr);
-  REQUIRE(one->views().find_peer_with_store_contact_since(0) == nullptr);
-  REQUIRE(one->views().running_elsewhere().at("u1") == 2);
-  auto heard = std::vector<upstream_news>{};
-  one->on_health_report([&](const std::string& peer, const upstream_news& news) {
+  REQUIRE(second->views().find_peer_with_store_contact_since(clock.now() - 1000)->vm_ == "vm-1");
+  REQUIRE(second->views().find_peer_with_store_contact_since(clock.now() - 30) == nullptr);
+  REQUIRE(first->views().find_peer_with_store_contact_since(0) == nullptr);
+  REQUIRE(first->views().running_elsewhere().at("u1") == 2);
+  auto received = std::vector<upstream_news>{};
+  first->on_health_report([&](const std::string& peer, const upstream_news& report) {
     CHECK(peer == "vm-2");
-    heard.push_back(news);
+    received.push_back(report);
   });
-  two->publish({"u1", true});
-  two->publish({"u2", false});
-  give_up = clock.now() + 4000;
-  while (heard.size() < 2 && clock.now() < give_up) {
+  second->publish({"u1", true});
+  second->publish({"u2", false});
+  deadline = clock.now() + 4000;
+  while (received.size() < 2 && clock.now() < deadline) {
     loop.run_for(std::chrono::milliseconds{20});
     loop.restart();
   }
-  REQUIRE(heard.size() == 2);
-  REQUIRE(heard[1].id_ == "u2");
+  REQUIRE(received.size() == 2);
+  REQUIRE(received[1].id_ == "u2");
 }
 
 }  // namespace birchlever
