--- a/birchlever/controllers/control_controller.cpp
+++ b/birchlever/controllers/control_controller.cpp
@@ -34,7 +34,7 @@
       [this](tick_atom) {
         poll_vms();
         scan_control_rows();
-        delayed_send(this, std::chrono::milliseconds{next_gap()}, tick_atom::value);
+        delayed_send(this, std::chrono::milliseconds{next_poll_interval()}, tick_atom::value);
       },
       [this](poll_atom) { scan_control_rows(); },
       [this](hand_over_atom) { hand_over_all(); },
@@ -43,7 +43,7 @@
 }
 
 /// Returns the poll interval with 10% jitter, so that daemons started together do not poll in step.
-auto control_controller::next_gap() -> milliseconds {
+auto control_controller::next_poll_interval() -> milliseconds {
   auto spread = std::uniform_real_distribution<double>{0.9, 1.1};
   return static_cast<milliseconds>(static_cast<double>(context_->settings_.poll_ms_) * spread(generator_));
 }
--- a/birchlever/controllers/control_controller.h
+++ b/birchlever/controllers/control_controller.h
@@ -24,7 +24,7 @@
 
  private:
   auto scan_control_rows() -> void;
-  auto next_gap() -> milliseconds;
+  auto next_poll_interval() -> milliseconds;
   auto poll_vms() -> void;
   auto observe_configuration(const std::optional<table_row>& row, milliseconds started_at) -> void;
   auto notify_shard(int shard, const std::optional<table_row>& row) -> void;
--- a/birchlever/controllers/peer_exchange.cpp
+++ b/birchlever/controllers/peer_exchange.cpp
@@ -82,7 +82,7 @@
 auto peer_exchange::publish(const upstream_news& report) -> void {
   pending_reports_.push_back(report);
   if (pending_reports_.size() == 1) {
-    start(*loop_, "peer_health_reports", send_health_reports());
+    start(*loop_, "peer_news", send_health_reports());
   }
 }
 
--- a/birchlever/controllers/shard_writer.cpp
+++ b/birchlever/controllers/shard_writer.cpp
@@ -39,8 +39,8 @@
       [this](observed_atom, const shared<observed_message>& observed) { observe(*observed); },
       [this](tick_atom) {
         maintain_lease();
-        auto gap = context_->settings_.lease_renew_ms_ / ticks_per_renewal;
-        delayed_send(this, std::chrono::milliseconds{std::max<std::int64_t>(10, gap)}, tick_atom::value);
+        auto interval = context_->settings_.lease_renew_ms_ / ticks_per_renewal;
+        delayed_send(this, std::chrono::milliseconds{std::max<std::int64_t>(10, interval)}, tick_atom::value);
       },
       [this](append_atom, const shared<append_message>& message) { append(*message); },
       [this](flush_atom) { flush(); },
@@ -87,7 +87,7 @@
   }
   publish_validity();
   if (!lease_->held()) {
-    drop_shard("lease expired");
+    drop_shard("lease ran out");
   }
 }
 
@@ -176,7 +176,7 @@
     auto outcome = journal_->commit(records, renew_lease);
     if (!ok(outcome)) {
       log_failure(log_level::warning, "journal_commit_failed", failure(outcome));
-      drop_shard("journal write failed");
+      drop_shard("journal could not be written");
       return;
     }
     context_->metrics_->observe("journal_commit_ms",
--- a/birchlever/controllers/upstream_follower.cpp
+++ b/birchlever/controllers/upstream_follower.cpp
@@ -92,7 +92,7 @@
   }
   auto inserted = expired_.emplace(id, reconnected_at + expiry_grace_).second;
   if (inserted && expired_.size() == 1) {
-    start(*loop_, "remove_expired", remove_expired());
+    start(*loop_, "remove_lapsed", remove_expired());
   }
   if (inserted) {
     log_event(log_level::info, "upstream_expired",
--- a/birchlever/controllers/upstream_watch.cpp
+++ b/birchlever/controllers/upstream_watch.cpp
@@ -62,8 +62,8 @@
   return {
       [this](tick_atom) {
         poll_engines();
-        auto gap = std::max<std::int64_t>(50, context_->settings_.poll_ms_ / rounds_per_control_poll);
-        delayed_send(this, std::chrono::milliseconds{gap}, tick_atom::value);
+        auto interval = std::max<std::int64_t>(50, context_->settings_.poll_ms_ / rounds_per_control_poll);
+        delayed_send(this, std::chrono::milliseconds{interval}, tick_atom::value);
       },
       [this](stop_atom) { quit(); },
   };
