--- a/birchlever/storage/answer_times.cpp
+++ b/birchlever/storage/answer_times.cpp
@@ -5,39 +5,40 @@
 namespace birchlever {
 namespace {
 
-constexpr auto usual_weight = 0.1;      // Of a new measurement in the moving mean.
-constexpr auto lost_after_usual = 5.0;  // An answer so many times later than usual is taken for lost.
-constexpr auto slow_margin = 2;         // A place may take so many times as long as it last did.
+constexpr auto sample_weight = 0.1;    // Weight of a new sample in the moving average.
+constexpr auto mean_multiplier = 5.0;  // Initial timeout as a multiple of the mean response time.
+constexpr auto slow_partition_multiplier =
+    2;  // Timeout of a slow partition as a multiple of its last response time.
 
 }  // namespace
 
-auto answer_times::first_limit() const -> milliseconds {
-  auto usual = static_cast<milliseconds>(lost_after_usual * usual_ms_);
-  return std::clamp(usual, settings_.shortest_, settings_.longest_);
+auto answer_times::initial_timeout() const -> milliseconds {
+  auto timeout = static_cast<milliseconds>(mean_multiplier * usual_ms_);
+  return std::clamp(timeout, settings_.shortest_, settings_.longest_);
 }
 
-auto answer_times::limit(const std::string& place, int tries) const -> milliseconds {
-  auto wanted = tries < settings_.quick_tries_ ? first_limit() << tries : settings_.longest_;
-  auto slow = slow_.find(place);
-  if (slow != slow_.end()) {
-    wanted = std::max(wanted, slow_margin * slow->second);
+auto answer_times::limit(const std::string& partition, int attempts) const -> milliseconds {
+  auto timeout = attempts < settings_.quick_tries_ ? initial_timeout() << attempts : settings_.longest_;
+  auto entry = slow_.find(partition);
+  if (entry != slow_.end()) {
+    timeout = std::max(timeout, slow_partition_multiplier * entry->second);
   }
-  return std::min(wanted, settings_.longest_);
+  return std::min(timeout, settings_.longest_);
 }
 
-auto answer_times::note_answer(const std::string& place, milliseconds took) -> void {
-  usual_ms_ += usual_weight * (static_cast<double>(took) - usual_ms_);
+auto answer_times::note_answer(const std::string& partition, milliseconds took) -> void {
+  usual_ms_ += sample_weight * (static_cast<double>(took) - usual_ms_);
   if (took <= settings_.shortest_) {
-    slow_.erase(place);
+    slow_.erase(partition);
   } else if (settings_.remembers_) {
-    slow_[place] = took;
+    slow_[partition] = took;
   }
 }
 
-auto answer_times::note_silence(const std::string& place, milliseconds limit) -> void {
+auto answer_times::note_silence(const std::string& partition, milliseconds limit) -> void {
   if (settings_.remembers_) {
-    auto& slow = slow_[place];
-    slow = std::max(slow, limit);
+    auto& slowest = slow_[partition];
+    slowest = std::max(slowest, limit);
   }
 }
 
--- a/birchlever/storage/answer_times.h
+++ b/birchlever/storage/answer_times.h
@@ -1,10 +1,8 @@
-/// How long the store takes to answer, by the place that is written, and after how long an answer is lost.
+/// Adaptive response timeouts for store calls, tracked per partition.
 ///
-/// An answer that does not come was lost, or waits: a part of the store makes one change after the other. To
-/// ask again soon is right for the first and ruinous for the second, since each repetition waits in the same
-/// queue: a part that was overloaded for a moment stayed so for good, with each change sent four times and
-/// none answered within its limit. So a place that was silent or slow gets more time at once, until it
-/// answers quickly again.
+/// The store applies the changes of one partition sequentially, so a retry that is sent too early queues
+/// behind the call it repeats and prolongs an overload. Partitions that timed out or were slow therefore
+/// start with a longer timeout until they respond quickly again.
 #pragma once
 
 #include <map>
@@ -14,43 +12,40 @@
 
 namespace birchlever {
 
-/// Times in ms.
+/// Timeout limits, in ms.
 struct answer_time_settings {
-  milliseconds shortest_ =
-      150;  ///< An answer takes 4 to 20 ms; this long without one and it was probably lost.
-  milliseconds longest_ = 1500;  ///< A part refuses what would wait for over a second; also enough for a
-                                 ///< store that is 60 times slower than usual.
-  int quick_tries_ = 2;  ///< Of a call, the second with twice the time; two losses in a row are rare, so what
-                         ///< is not answered then waits in a queue, and gets the longest time.
-  bool remembers_ = true;  ///< Later calls to a place that was silent or slow begin with more time.
+  milliseconds shortest_ = 150;  ///< Lower bound of the first timeout of a call.
+  milliseconds longest_ = 1500;  ///< Upper bound; the store rejects calls that would queue longer.
+  int quick_tries_ = 2;          ///< Attempts with a doubling timeout; later ones use `longest_`.
+  bool remembers_ = true;        ///< Slow partitions keep a longer initial timeout across calls.
 };
 
-/// A function of what was met; not thread safe.
+/// Computes timeouts from recorded response times. Not thread safe.
 class answer_times {
  public:
   explicit answer_times(const answer_time_settings& settings = {}) : settings_{settings} {}
 
-  /// ms that a call to a place may take; `tries` were made before.
-  [[nodiscard]] auto limit(const std::string& place, int tries) const -> milliseconds;
+  /// Returns the timeout of the next attempt in ms, after `attempts` earlier attempts of the same call.
+  [[nodiscard]] auto limit(const std::string& partition, int attempts) const -> milliseconds;
 
-  /// A call was answered.
-  auto note_answer(const std::string& place, milliseconds took) -> void;
+  /// Records a response that took `took` ms.
+  auto note_answer(const std::string& partition, milliseconds took) -> void;
 
-  /// True while a place is known to be slow, so that calls to it get more time.
-  [[nodiscard]] auto slow(const std::string& place) const -> bool { return slow_.count(place) != 0; }
+  /// Returns true if the partition currently has an extended timeout.
+  [[nodiscard]] auto slow(const std::string& partition) const -> bool { return slow_.count(partition) != 0; }
 
-  /// A call was not answered within its limit.
-  auto note_silence(const std::string& place, milliseconds limit) -> void;
+  /// Records that no response arrived within `limit` ms.
+  auto note_silence(const std::string& partition, milliseconds limit) -> void;
 
-  /// Moving mean of quick answers, in ms.
+  /// Returns the exponential moving average of response times in ms.
   [[nodiscard]] auto usual_ms() const -> double { return usual_ms_; }
 
  private:
-  [[nodiscard]] auto first_limit() const -> milliseconds;
+  [[nodiscard]] auto initial_timeout() const -> milliseconds;
 
   answer_time_settings settings_;
   double usual_ms_ = 20;
-  std::map<std::string, milliseconds> slow_;  ///< How long places took that are silent or slow.
+  std::map<std::string, milliseconds> slow_;  ///< Last response time or timeout of slow partitions.
 };
 
 }  // namespace birchlever
--- a/birchlever/storage/call_pace.h
+++ b/birchlever/storage/call_pace.h
@@ -1,10 +1,8 @@
-/// How fast one daemon may write to the store, whose rate all daemons share.
+/// Client-side rate limiter for store writes, whose total rate is shared by all daemons.
 ///
-/// A call beyond the store's rate is refused and costs as much as one that is done. Daemons that each repeat
-/// what was refused keep the store at its limit long after the load that began it is over, with most of its
-/// work wasted. So a daemon whose calls are refused sends fewer, at first hand: it keeps a rate that falls by
-/// a part with a refusal and grows slowly while there is none. An equal share of the store's rate is always
-/// allowed, so that all daemons together stay near it and none is starved.
+/// A refused call costs the store as much as a completed one, so retries can keep it saturated after the load
+/// has dropped. The allowed rate decreases multiplicatively on a refusal and recovers while there is none. It
+/// never falls below an equal share of the store's rate, so that no daemon is starved.
 #pragma once
 
 #include <cstdint>
@@ -14,35 +12,35 @@
 
 namespace birchlever {
 
-/// How the rate is kept. Times in ms.
+/// Parameters of the rate limiter.
 struct call_pace_settings {
-  double kept_after_refusal_ = 0.7;  ///< Of the rate at which calls were sent, after one was refused.
-  double refused_share_ = 0.03;      ///< Of the calls, at which growth and falls are in balance.
-  double most_growth_per_s_ = 0.6;   ///< Of the rate, in each second without a refusal.
-  milliseconds refusal_gap_ = 100;   ///< Refusals so close together count as one: they answer one burst.
-  milliseconds calm_ = 5000;         ///< After so long without a refusal nothing is held back any more.
-  milliseconds burst_ = 60;          ///< Calls of so long may go out at once.
-  double fleet_part_ = 0.8;          ///< Of the store's rate that equal shares are made of.
+  double decrease_factor_ = 0.7;           ///< Applied to the send rate after a refusal.
+  double target_refused_fraction_ = 0.03;  ///< Fraction of refused calls at which the rate is stable.
+  double max_growth_per_s_ = 0.6;          ///< Maximum growth per second, as a fraction of the rate.
+  milliseconds refusal_window_ = 100;      ///< Refusals within this time (ms) count as one.
+  milliseconds unlimited_after_ = 5000;    ///< Time (ms) without a refusal after which the limit is lifted.
+  milliseconds burst_ = 60;                ///< Burst size, as the time (ms) in which it accrues.
+  double fleet_fraction_ = 0.8;            ///< Fraction of the store's rate that is split into equal shares.
 };
 
-/// A pure function of calls, refusals and times.
+/// Deterministic in the recorded calls, refusals and times. Not thread safe.
 class call_pace {
  public:
   explicit call_pace(const call_pace_settings& settings = {}) : settings_{settings} { set_fleet(0, 1); }
 
-  /// The store takes so many calls a second from so many daemons together; 0: not known.
+  /// Sets the store's total rate in calls per second (0 if unknown) and the number of daemons sharing it.
   auto set_fleet(double per_s, std::int64_t daemons) -> void;
 
-  /// ms until a call may be sent; 0: now.
+  /// Returns the time in ms until the next call may be sent; 0 if it may be sent now.
   [[nodiscard]] auto wait(milliseconds now) const -> milliseconds;
 
-  /// A call is sent now.
+  /// Records that a call is sent.
   auto note_sent(milliseconds now) -> void;
 
-  /// A call was refused because there are too many.
+  /// Records that the store refused a call because of its rate limit.
   auto note_refused(milliseconds now) -> void;
 
-  /// Calls a second that may be sent; none while nothing holds them back.
+  /// Returns the allowed rate in calls per second, or nothing while calls are unlimited.
   [[nodiscard]] auto rate(milliseconds now) const -> std::optional<double>;
 
  private:
@@ -50,14 +48,14 @@
   [[nodiscard]] auto sending_rate(milliseconds now) const -> double;
 
   call_pace_settings settings_;
-  double share_ = 0;  ///< Calls a second that are always allowed.
-  double rate_ = 0;   ///< As of `rate_at_`, while `bounded_`.
-  bool bounded_ = false;
+  double share_ = 0;  ///< Calls per second that are always allowed.
+  double rate_ = 0;   ///< Allowed rate as of `rate_at_`; valid while `limited_`.
+  bool limited_ = false;
   milliseconds rate_at_ = 0;
   milliseconds refused_at_ = 0;
-  double tokens_ = 0;  ///< As of `tokens_at_`.
+  double tokens_ = 0;  ///< Tokens in the bucket as of `tokens_at_`.
   milliseconds tokens_at_ = 0;
-  double sent_per_s_ = 0;  ///< Fading count of calls that were taken, as of `sent_at_`.
+  double sent_per_s_ = 0;  ///< Decaying rate of accepted calls as of `sent_at_`.
   milliseconds sent_at_ = 0;
 };
 
--- a/birchlever/storage/http_connection_pool.cpp
+++ b/birchlever/storage/http_connection_pool.cpp
@@ -20,8 +20,9 @@
   return client.send(request);
 }
 
-auto surely_not_sent(httplib::Error fault) -> bool {
-  return fault == httplib::Error::Connection || fault == httplib::Error::ConnectionTimeout;
+/// Returns true for failures to connect, after which the request was certainly not sent.
+auto is_connection_failure(httplib::Error failure) -> bool {
+  return failure == httplib::Error::Connection || failure == httplib::Error::ConnectionTimeout;
 }
 
 }  // namespace
@@ -29,7 +30,7 @@
 auto parse_endpoint(const std::string& text) -> result<endpoint> {
   auto colon = text.rfind(':');
   if (colon == std::string::npos || colon == 0) {
-    return error{error_code::invalid_setting, "address '" + text + "' is not ip:port"};
+    return error{error_code::invalid_setting, "address '" + text + "' does not have the form ip:port"};
   }
   auto digits = text.substr(colon + 1);
   auto numeric =
@@ -60,7 +61,7 @@
 
 auto http_connection_pool::borrow(const endpoint& target) -> result<std::unique_ptr<httplib::Client>> {
   if (test_switches::instance().link(link_of(target)) == link_state::cut) {
-    return error{error_code::upstream_refused, "link to " + target.text() + " is cut"};
+    return error{error_code::upstream_refused, "link to " + target.text() + " is cut by a test switch"};
   }
   {
     auto lock = std::lock_guard{mutex_};
@@ -100,14 +101,14 @@
   auto outcome = send(*client, method, path, body, {headers.begin(), headers.end()});
   auto lost = test_switches::instance().link(link_of(target)) == link_state::answers_lost;
   if (outcome && !lost) {
-    auto answer = http_answer{outcome->status, std::move(outcome->body)};
+    auto response = http_answer{outcome->status, std::move(outcome->body)};
     give_back(target, std::move(client));
-    return answer;
+    return response;
   }
-  if (!lost && surely_not_sent(outcome.error())) {
-    return error{error_code::upstream_refused, "no connection to " + target.text()};
+  if (!lost && is_connection_failure(outcome.error())) {
+    return error{error_code::upstream_refused, "failed to connect to " + target.text()};
   }
-  return error{error_code::upstream_timeout, "no answer from " + target.text(), ran_state::outcome_unknown};
+  return error{error_code::upstream_timeout, "no response from " + target.text(), ran_state::outcome_unknown};
 }
 
 }  // namespace birchlever
--- a/birchlever/storage/http_connection_pool.h
+++ b/birchlever/storage/http_connection_pool.h
@@ -1,4 +1,4 @@
-/// Kept-alive HTTP connections to the platform and to upstreams, shared by threads.
+/// Pool of keep-alive HTTP connections to the platform and to upstreams.
 #pragma once
 
 #include <functional>
@@ -17,50 +17,51 @@
 
 namespace birchlever {
 
-/// An HTTP answer, with only what the system reads of it.
+/// Status and body of an HTTP response.
 struct http_answer {
   int status_ = 0;
   std::string body_;
 };
 
-/// An IP number and a port.
+/// An IP address and a port.
 struct endpoint {
   std::string host_;
   int port_ = 0;
 
-  /// "host:port", also the link's name for test switches.
+  /// Returns "host:port", which also names the link in test switches.
   [[nodiscard]] auto text() const -> std::string { return host_ + ":" + std::to_string(port_); }
 };
 
-/// Reads "host:port". Failures: invalid_setting.
+/// Parses "host:port". Failures: invalid_setting.
 [[nodiscard]] auto parse_endpoint(const std::string& text) -> result<endpoint>;
 
-/// How connections behave. Times in milliseconds.
+/// Settings of a connection pool. Times in ms.
 struct http_pool_settings {
   milliseconds connect_timeout_ = 500;
   milliseconds answer_timeout_ = 2000;
   std::size_t idle_per_endpoint_ = 32;
 };
 
-/// Lends connections and takes them back. Failures of requests: upstream_refused (surely not sent) and
-/// upstream_timeout with outcome_unknown (may have been taken in).
+/// Pools idle connections per endpoint. Thread safe. Requests fail with upstream_refused if they were not
+/// sent, or with upstream_timeout and outcome_unknown if they may have been processed.
 class http_connection_pool {
  public:
-  /// Checks the settings and makes an empty pool. The link name, if any, stands for all endpoints in tests.
+  /// Creates an empty pool. A link name, if given, names the links to all endpoints in test switches.
+  /// Failures: invalid_setting.
   static auto create(const http_pool_settings& settings, std::string link_name = {})
       -> result<std::shared_ptr<http_connection_pool>>;
 
   ~http_connection_pool();
 
-  /// Sends a request with a JSON body (none when empty) and waits for the whole answer.
+  /// Sends a request with a JSON body, or none if it is empty, and waits for the complete response.
   auto request(const endpoint& target, const std::string& method, const std::string& path,
                const std::string& body, const std::map<std::string, std::string>& headers = {})
       -> result<http_answer>;
 
-  /// Takes a connection out of the pool for a streamed exchange.
+  /// Removes an idle connection from the pool, or creates one, for a streamed exchange.
   auto borrow(const endpoint& target) -> result<std::unique_ptr<httplib::Client>>;
 
-  /// Gives a connection back that is in a clean state.
+  /// Returns a connection to the pool. It must have no response pending.
   auto give_back(const endpoint& target, std::unique_ptr<httplib::Client> client) -> void;
 
  private:
--- a/birchlever/storage/http_table_store.cpp
+++ b/birchlever/storage/http_table_store.cpp
@@ -27,9 +27,9 @@
   return body.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-auto unreadable() -> error {
-  return error{error_code::store_unavailable, "table service answered something unreadable",
-               ran_state::not_run, retry_after_ms};
+auto malformed_response() -> error {
+  return error{error_code::store_unavailable, "malformed response from the table service", ran_state::not_run,
+               retry_after_ms};
 }
 
 }  // namespace
@@ -52,60 +52,60 @@
 
 auto http_table_store::exchange(const std::string& method, const std::string& path, const std::string& body,
                                 bool writes) -> result<http_answer> {
-  auto answer = pool_->request(target_, method, path, body);
-  if (!ok(answer)) {
-    auto open = writes && failure(answer).ran_ == ran_state::outcome_unknown;
-    auto code = open ? error_code::store_unknown : error_code::store_unavailable;
-    return error{code, failure(answer).detail_, failure(answer).ran_, retry_after_ms};
+  auto response = pool_->request(target_, method, path, body);
+  if (!ok(response)) {
+    auto outcome_unknown = writes && failure(response).ran_ == ran_state::outcome_unknown;
+    auto code = outcome_unknown ? error_code::store_unknown : error_code::store_unavailable;
+    return error{code, failure(response).detail_, failure(response).ran_, retry_after_ms};
   }
-  auto status = value(answer).status_;
+  auto status = value(response).status_;
   if (status == 409) {
-    return error{error_code::store_conflict, value(answer).body_};
+    return error{error_code::store_conflict, value(response).body_};
   }
   if (status >= 500 || status == 429) {
-    return error{error_code::store_unavailable, "table service refused with " + std::to_string(status),
+    return error{error_code::store_unavailable, "table service returned status " + std::to_string(status),
                  ran_state::not_run, retry_after_ms};
   }
-  return answer;
+  return response;
 }
 
 auto http_table_store::commit(const table_transaction& transaction) -> result<std::int64_t> {
-  auto answer = exchange("POST", "/table/commit", transaction_to_text(transaction), true);
-  if (!ok(answer)) {
-    return failure(answer);
+  auto response = exchange("POST", "/table/commit", transaction_to_text(transaction), true);
+  if (!ok(response)) {
+    return failure(response);
   }
-  auto body = json::parse(value(answer).body_, nullptr, false);
+  auto body = json::parse(value(response).body_, nullptr, false);
   if (!body.is_object() || !body.contains("version")) {
-    return error{error_code::store_unknown, "table service answered something unreadable"};
+    return error{error_code::store_unknown, "malformed response from the table service"};
   }
   return body["version"].get<std::int64_t>();
 }
 
 auto http_table_store::read(const std::string& key) -> result<std::optional<table_row>> {
-  auto answer = exchange("POST", "/table/read", json{{"key", key}}.dump(), false);
-  if (!ok(answer)) {
-    return failure(answer);
+  auto response = exchange("POST", "/table/read", json{{"key", key}}.dump(), false);
+  if (!ok(response)) {
+    return failure(response);
   }
-  if (value(answer).status_ == 404) {
+  if (value(response).status_ == 404) {
     return std::optional<table_row>{};
   }
-  auto body = json::parse(value(answer).body_, nullptr, false);
+  auto body = json::parse(value(response).body_, nullptr, false);
   if (!body.is_object() || !body.contains("version")) {
-    return unreadable();
+    return malformed_response();
   }
   return std::optional{row_from_json(body)};
 }
 
 auto http_table_store::scan(const std::string& prefix, const std::string& after, int limit)
     -> result<std::vector<table_row>> {
-  auto question = json{{"prefix", prefix}, {"after", after}, {"limit", limit}};
-  auto answer = exchange("POST", "/table/scan", question.dump(), false);
-  if (!ok(answer)) {
-    return failure(answer);
+  auto parameters = json{{"prefix", prefix}, {"after", after}, {"limit", limit}};
+  auto response = exchange("POST", "/table/scan", parameters.dump(), false);
+  if (!ok(response)) {
+    return failure(response);
   }
-  auto body = json::parse(value(answer).body_, nullptr, false);
+  auto body = json::parse(value(response).body_, nullptr, false);
   if (!body.is_object() || !body.contains("rows")) {
-    return unreadable();
+    return malformed_response();
   }
   auto rows = std::vector<table_row>{};
   for (const auto& row : body["rows"]) {
@@ -115,24 +115,24 @@
 }
 
 auto http_table_store::put_object(const std::string& key, const std::string& bytes) -> status {
-  auto answer = exchange("PUT", "/objects/" + key, bytes, true);
-  return ok(answer) ? status{success} : status{failure(answer)};
+  auto response = exchange("PUT", "/objects/" + key, bytes, true);
+  return ok(response) ? status{success} : status{failure(response)};
 }
 
 auto http_table_store::get_object(const std::string& key) -> result<std::optional<std::string>> {
-  auto answer = exchange("GET", "/objects/" + key, "", false);
-  if (!ok(answer)) {
-    return failure(answer);
+  auto response = exchange("GET", "/objects/" + key, "", false);
+  if (!ok(response)) {
+    return failure(response);
   }
-  if (value(answer).status_ == 404) {
+  if (value(response).status_ == 404) {
     return std::optional<std::string>{};
   }
-  return std::optional{std::move(value(answer).body_)};
+  return std::optional{std::move(value(response).body_)};
 }
 
 auto http_table_store::delete_object(const std::string& key) -> status {
-  auto answer = exchange("DELETE", "/objects/" + key, "", true);
-  return ok(answer) ? status{success} : status{failure(answer)};
+  auto response = exchange("DELETE", "/objects/" + key, "", true);
+  return ok(response) ? status{success} : status{failure(response)};
 }
 
 }  // namespace birchlever
--- a/birchlever/storage/http_table_store.h
+++ b/birchlever/storage/http_table_store.h
@@ -1,4 +1,4 @@
-/// The platform's table service and object store over its published HTTP protocol.
+/// Client of the platform's table service and object store over HTTP.
 #pragma once
 
 #include <memory>
@@ -8,10 +8,10 @@
 
 namespace birchlever {
 
-/// Speaks the platform's protocol; thread safe.
+/// Implements the platform's HTTP protocol. Thread safe.
 class http_table_store final : public table_store_interface {
  public:
-  /// A store at the given address. Failures: invalid_setting.
+  /// Creates a client for the store at "ip:port". Failures: invalid_setting.
   static auto create(const std::string& address, const http_pool_settings& settings)
       -> result<std::shared_ptr<http_table_store>>;
 
--- a/birchlever/storage/write_gate.cpp
+++ b/birchlever/storage/write_gate.cpp
@@ -10,11 +10,11 @@
 
 }  // namespace
 
-/// A write that waits for its place.
+/// A queued write.
 struct write_gate::waiter {
   explicit waiter(event_loop& loop) : changed_{loop} {}
 
-  bool let_in_ = false;
+  bool admitted_ = false;
   loop_signal changed_;
 };
 
@@ -24,8 +24,8 @@
 
 auto write_gate::ahead_of(write_rank rank) const -> std::size_t {
   auto ahead = std::size_t{0};
-  for (auto one = std::size_t{0}; one <= static_cast<std::size_t>(rank); ++one) {
-    ahead += queues_.at(one).size();
+  for (auto index = std::size_t{0}; index <= static_cast<std::size_t>(rank); ++index) {
+    ahead += queues_.at(index).size();
   }
   return ahead;
 }
@@ -49,34 +49,35 @@
   if (expected_wait(rank) > limit) {
     co_return false;
   }
-  auto own = std::make_shared<waiter>(*loop_);
+  auto entry = std::make_shared<waiter>(*loop_);
   auto& queue = queues_.at(static_cast<std::size_t>(rank));
-  auto place = queue.insert(queue.end(), own);
-  if (!std::exchange(letting_in_, true)) {
-    start(*loop_, "let_in", let_in());
+  auto position = queue.insert(queue.end(), entry);
+  if (!std::exchange(admitting_, true)) {
+    start(*loop_, "admit_waiters", admit_waiters());
   }
-  co_await own->changed_.wait_for(limit);
-  if (!own->let_in_) {
-    queue.erase(place);
+  co_await entry->changed_.wait_for(limit);
+  if (!entry->admitted_) {
+    queue.erase(position);
   }
-  co_return own->let_in_;
+  co_return entry->admitted_;
 }
 
-auto write_gate::let_in() -> task<> {
+auto write_gate::admit_waiters() -> task<> {
   while (waiting() > 0) {
     auto wait = pace_.wait(clock_.now());
     if (wait > 0) {
       co_await pause_for(*loop_, wait);
       continue;
     }
-    auto first = std::find_if(queues_.begin(), queues_.end(), [](const auto& one) { return !one.empty(); });
-    auto next = first->front();
-    first->pop_front();
+    auto queue =
+        std::find_if(queues_.begin(), queues_.end(), [](const auto& queued) { return !queued.empty(); });
+    auto next = queue->front();
+    queue->pop_front();
     pace_.note_sent(clock_.now());
-    next->let_in_ = true;
+    next->admitted_ = true;
     next->changed_.notify();
   }
-  letting_in_ = false;
+  admitting_ = false;
 }
 
 }  // namespace birchlever
--- a/birchlever/storage/write_gate.h
+++ b/birchlever/storage/write_gate.h
@@ -1,7 +1,5 @@
-/// Where writes of the store wait for their turn while the store refuses some for being too many. Those that
-/// are worth most go first: what ends a turn, whose answer is made already, before what begins one, turns of
-/// begun programs before those of new ones, and last those of programs that should have ended already. Nobody
-/// waits who could not be served in time.
+/// Priority queue for store writes while the store is rate limiting this daemon. A write that is not expected
+/// to be admitted within its time limit is rejected immediately.
 #pragma once
 
 #include <array>
@@ -21,34 +19,34 @@
   explicit write_gate(event_loop& loop, const call_pace_settings& settings = {})
       : loop_{&loop}, pace_{settings} {}
 
-  /// Waits for a place, at most so long. False: there was none, or it is known at once that there will be
-  /// none.
+  /// Waits up to `limit` ms until a write may be sent. Returns false on timeout, and immediately if the
+  /// expected wait exceeds the limit.
   auto enter(write_rank rank, milliseconds limit) -> task<bool>;
 
-  /// How long a write of this rank would wait, in ms, as things stand.
+  /// Returns how long in ms a write of this priority would currently wait.
   [[nodiscard]] auto expected_wait(write_rank rank) const -> milliseconds;
 
-  /// The store refused a write for being one too many.
+  /// Records that the store refused a write because of its rate limit.
   auto note_refused() -> void { pace_.note_refused(clock_.now()); }
 
-  /// The store takes so many writes a second from so many daemons together.
+  /// Sets the store's total rate in writes per second and the number of daemons sharing it.
   auto set_fleet(double per_s, std::int64_t daemons) -> void { pace_.set_fleet(per_s, daemons); }
 
-  /// Writes that wait now.
+  /// Returns the number of queued writes.
   [[nodiscard]] auto waiting() const -> std::size_t;
 
  private:
   struct waiter;
   using waiter_pointer = std::shared_ptr<waiter>;
 
-  auto let_in() -> task<>;
+  auto admit_waiters() -> task<>;
   [[nodiscard]] auto ahead_of(write_rank rank) const -> std::size_t;
 
   event_loop* loop_;
   steady_clock clock_;
   call_pace pace_;
-  std::array<std::list<waiter_pointer>, write_ranks> queues_;  ///< By rank, the earliest first.
-  bool letting_in_ = false;
+  std::array<std::list<waiter_pointer>, write_ranks> queues_;  ///< By priority, each in FIFO order.
+  bool admitting_ = false;
 };
 
 }  // namespace birchlever
--- a/unit_tests/storage/call_pace_test.cpp
+++ b/unit_tests/storage/call_pace_test.cpp
@@ -1,4 +1,4 @@
-/// The rate of the store's writes that all daemons share, and who waits for it first.
+/// Tests of the store write rate limiter and of the priority queue in front of it.
 #include <catch2/catch.hpp>
 #include <random>
 
@@ -8,7 +8,7 @@
 namespace birchlever {
 namespace {
 
-/// The store's limit: so many writes in each second, the rest is refused.
+/// A token bucket that accepts `per_s_` writes per second and refuses the rest.
 struct limited_store {
   auto write(milliseconds now) -> bool {
     tokens_ = std::min(tokens_ + per_s_ * static_cast<double>(now - at_) / 1000, per_s_ / 10);
@@ -29,40 +29,41 @@
   int refused_ = 0;
 };
 
-/// Load pattern: more writes than the store takes, for some seconds, then calm. Each daemon has writes of its
-/// own to make, unevenly many; one that is refused is made again until it is done.
-struct storm {
-  storm(int daemons, double per_s) : paces_(static_cast<std::size_t>(daemons)), backlog_(paces_.size()) {
+/// Simulates daemons that share one store. Writes are spread unevenly over the daemons; refused writes are
+/// retried until they succeed.
+struct fleet_simulation {
+  fleet_simulation(int daemons, double per_s)
+      : paces_(static_cast<std::size_t>(daemons)), backlog_(paces_.size()) {
     store_.per_s_ = per_s;
     for (auto& pace : paces_) {
       pace.set_fleet(store_.per_s_, daemons);
     }
   }
 
-  /// Plays so many ms with so many writes a second wanted.
-  auto play(milliseconds span, double wanted_per_s) -> void {
-    for (auto step = milliseconds{0}; step < span; ++step, ++now_) {
-      due_ += wanted_per_s / 1000;
+  /// Runs the simulation for `duration` ms at an offered load of `writes_per_s`.
+  auto run(milliseconds duration, double writes_per_s) -> void {
+    for (auto step = milliseconds{0}; step < duration; ++step, ++now_) {
+      due_ += writes_per_s / 1000;
       for (; due_ >= 1; due_ -= 1) {
         auto skewed = random_() % paces_.size() * (random_() % paces_.size()) / paces_.size();
         ++backlog_[skewed];
       }
-      auto first = random_() % paces_.size();  // Nobody is the first at the store each time.
-      for (auto step_on = std::size_t{0}; step_on < paces_.size(); ++step_on) {
-        auto one = (first + step_on) % paces_.size();
-        if (backlog_[one] > 0 && paces_[one].wait(now_) == 0) {
-          paces_[one].note_sent(now_);
+      auto first = random_() % paces_.size();  // Randomizes the order in which daemons reach the store.
+      for (auto offset = std::size_t{0}; offset < paces_.size(); ++offset) {
+        auto index = (first + offset) % paces_.size();
+        if (backlog_[index] > 0 && paces_[index].wait(now_) == 0) {
+          paces_[index].note_sent(now_);
           if (store_.write(now_)) {
-            --backlog_[one];
+            --backlog_[index];
           } else {
-            paces_[one].note_refused(now_);
+            paces_[index].note_refused(now_);
           }
         }
       }
     }
   }
 
-  /// Callers of what was not done in time have left.
+  /// Discards all pending writes, as if their callers had timed out.
   auto drop_backlog() -> void { backlog_.assign(backlog_.size(), 0); }
 
   limited_store store_;
@@ -76,26 +77,26 @@
 }  // namespace
 
 TEST_CASE(
-    "a storm of writes: few are refused, what the store can do is done, and calm returns with the load") {
-  // Daemons and rates of deployments of three sizes.
+    "a write overload uses the store's capacity with few refusals, and throughput recovers with the load") {
+  // Daemons and store rates of three deployment sizes.
   for (auto [daemons, per_s] : {std::pair{12, 800.0}, std::pair{76, 1500.0}, std::pair{984, 4000.0}}) {
     INFO(daemons);
-    auto fleet = storm{daemons, per_s};
-    auto calm = 0.7 * per_s;
-    fleet.play(3000, calm);
+    auto fleet = fleet_simulation{daemons, per_s};
+    auto normal_load = 0.7 * per_s;
+    fleet.run(3000, normal_load);
     auto before = fleet.store_.done_;
-    fleet.play(6000, 2.3 * per_s);
+    fleet.run(6000, 2.3 * per_s);
     CHECK(fleet.store_.done_ - before >= 0.85 * 6 * per_s);
     fleet.drop_backlog();
-    fleet.play(2000, calm);
+    fleet.run(2000, normal_load);
     before = fleet.store_.done_;
-    fleet.play(6000, calm);
-    CHECK(fleet.store_.done_ - before >= 0.9 * 6 * calm);
+    fleet.run(6000, normal_load);
+    CHECK(fleet.store_.done_ - before >= 0.9 * 6 * normal_load);
     CHECK(fleet.store_.refused_ <= 0.05 * (fleet.store_.done_ + fleet.store_.refused_));
   }
 }
 
-TEST_CASE("nothing is held back while nothing is refused, and no longer after a calm time") {
+TEST_CASE("the rate is unlimited until a refusal, and again after a period without refusals") {
   auto pace = call_pace{};
   pace.set_fleet(1500, 76);
   for (auto now = milliseconds{1000}; now < 2000; ++now) {
@@ -111,18 +112,18 @@
   CHECK(pace.wait(9000) == 0);
 }
 
-TEST_CASE("ends of turns go before turns of begun programs, and those before new ones") {
+TEST_CASE("queued writes are admitted by priority: turn ends, running programs, new programs, cleanup") {
   auto loop = event_loop{1};
   auto gate = write_gate{loop};
   gate.set_fleet(20, 1);
   auto order = std::vector<write_rank>{};
-  auto want = [&](write_rank rank) -> task<> {
-    auto let_in = co_await gate.enter(rank, 3000);
-    if (let_in) {
+  auto enter_gate = [&](write_rank rank) -> task<> {
+    auto admitted = co_await gate.enter(rank, 3000);
+    if (admitted) {
       order.push_back(rank);
     }
   };
-  auto enter = [&](write_rank rank) { start(loop, "want", want(rank)); };
+  auto enter = [&](write_rank rank) { start(loop, "enter_gate", enter_gate(rank)); };
   gate.note_refused();
   enter(write_rank::begins_program);
   enter(write_rank::cleans_up);
@@ -136,25 +137,25 @@
                                          write_rank::cleans_up});
 }
 
-TEST_CASE("a write that would wait for longer than it may is told so at once") {
+TEST_CASE("a write whose expected wait exceeds its limit is rejected immediately") {
   auto loop = event_loop{1};
   auto gate = write_gate{loop};
   gate.set_fleet(20, 1);
   gate.note_refused();
-  auto answers = std::vector<bool>{};
-  auto want = [&](milliseconds limit) -> task<> {
-    auto let_in = co_await gate.enter(write_rank::begins_program, limit);
-    answers.push_back(let_in);
+  auto results = std::vector<bool>{};
+  auto enter_gate = [&](milliseconds limit) -> task<> {
+    auto admitted = co_await gate.enter(write_rank::begins_program, limit);
+    results.push_back(admitted);
   };
   for (auto number = 0; number < 10; ++number) {
-    start(loop, "want", want(5000));
+    start(loop, "enter_gate", enter_gate(5000));
   }
   run_loop_for(loop, 10);
   CHECK(gate.expected_wait(write_rank::begins_program) > 300);
   CHECK(gate.expected_wait(write_rank::ends_turn) < gate.expected_wait(write_rank::begins_program));
-  start(loop, "want", want(100));
+  start(loop, "enter_gate", enter_gate(100));
   REQUIRE(run_loop_until(
-      loop, [&] { return !answers.empty(); }, 200));
+      loop, [&] { return !results.empty(); }, 200));
 }
 
 }  // namespace birchlever
