--- a/birchlever/storage/memory_row_store.cpp
+++ b/birchlever/storage/memory_row_store.cpp
@@ -5,16 +5,16 @@
 
 constexpr auto retry_later_ms = milliseconds{500};
 
-auto place_of(const row_key& key) -> std::tuple<std::string, std::string, std::string> {
+auto row_id_of(const row_key& key) -> std::tuple<std::string, std::string, std::string> {
   return {key.table_, key.part_, key.key_};
 }
 
 auto unavailable() -> error {
-  return error{error_code::store_unavailable, "the store is down", ran_state::not_run, retry_later_ms};
+  return error{error_code::store_unavailable, "store is unavailable", ran_state::not_run, retry_later_ms};
 }
 
 auto unknown() -> error {
-  return error{error_code::store_unknown, "the store's answer was lost", ran_state::outcome_unknown,
+  return error{error_code::store_unknown, "response of the store was lost", ran_state::outcome_unknown,
                retry_later_ms};
 }
 
@@ -23,7 +23,7 @@
 auto memory_row_store::apply(const row_transaction& transaction) -> commit_outcome {
   auto outcome = commit_outcome{true, version_ + 1, {}, clock_.now()};
   for (const auto& condition : transaction.conditions_) {
-    auto found = rows_.find(place_of(condition.key_));
+    auto found = rows_.find(row_id_of(condition.key_));
     auto current = found == rows_.end() ? stored_row{condition.key_, {}, 0, false} : found->second;
     outcome.committed_ = outcome.committed_ && current.version_ == condition.version_;
     outcome.conflicts_.push_back(std::move(current));
@@ -36,11 +36,11 @@
   ++version_;
   for (auto row : transaction.puts_) {
     row.version_ = version_;
-    rows_[place_of(row.key_)] = row;
+    rows_[row_id_of(row.key_)] = row;
     history_.push_back(std::move(row));
   }
   for (const auto& key : transaction.removals_) {
-    if (rows_.erase(place_of(key)) > 0) {
+    if (rows_.erase(row_id_of(key)) > 0) {
       history_.push_back({key, {}, version_, true});
     }
   }
@@ -54,10 +54,10 @@
 }
 
 auto memory_row_store::wait_until_reachable(milliseconds limit) -> task<bool> {
-  constexpr auto look_gap = milliseconds{5};
-  auto due = clock_.now() + limit;
-  while (faults_.down_ && clock_.now() < due) {
-    co_await pause_for(*loop_, look_gap);
+  constexpr auto poll_interval = milliseconds{5};
+  auto deadline = clock_.now() + limit;
+  while (faults_.down_ && clock_.now() < deadline) {
+    co_await pause_for(*loop_, poll_interval);
   }
   co_return !faults_.down_;
 }
@@ -97,9 +97,9 @@
   page.store_now_ = clock_.now();
   for (auto next = rows_.lower_bound({range.table_, range.part_, range.from_}); next != rows_.end(); ++next) {
     const auto& key = next->second.key_;
-    auto inside = key.table_ == range.table_ && key.part_ == range.part_ &&
-                  (range.until_.empty() || key.key_ < range.until_);
-    if (!inside) {
+    auto in_range = key.table_ == range.table_ && key.part_ == range.part_ &&
+                    (range.until_.empty() || key.key_ < range.until_);
+    if (!in_range) {
       break;
     }
     if (static_cast<int>(page.rows_.size()) >= range.limit_) {
@@ -118,7 +118,7 @@
     co_return unavailable();
   }
   if (std::exchange(faults_.history_gone_, false)) {
-    co_return error{error_code::store_conflict, "the history is gone"};
+    co_return error{error_code::store_conflict, "change history is no longer available"};
   }
   if (version_ <= after) {
     co_await changed_.wait_for(wait);
@@ -142,8 +142,8 @@
   }
   auto names = std::vector<std::string>{};
   for (const auto& [key, row] : rows_) {
-    auto fresh = names.empty() || names.back() != row.key_.part_;
-    if (row.key_.table_ == table && row.key_.part_ > after && fresh) {
+    auto is_new = names.empty() || names.back() != row.key_.part_;
+    if (row.key_.table_ == table && row.key_.part_ > after && is_new) {
       names.push_back(row.key_.part_);
     }
   }
--- a/birchlever/storage/memory_row_store.h
+++ b/birchlever/storage/memory_row_store.h
@@ -1,4 +1,4 @@
-/// A table service in memory with the faults of a real one, for tests and for embedding without a platform.
+/// In-memory table service with fault injection, for tests and for embedding without a platform.
 #pragma once
 
 #include <cstdint>
@@ -12,17 +12,17 @@
 
 namespace birchlever {
 
-/// What the store does wrong while it is set.
+/// Injected faults. Counters give the number of following commits that are affected.
 struct row_store_faults {
-  bool down_ = false;     ///< Every call fails with store_unavailable, nothing done.
-  int lose_answers_ = 0;  ///< So many next commits are done, and their answers lost.
-  int lose_calls_ = 0;    ///< So many next commits are not done, and not answered either.
-  int late_commits_ = 0;  ///< So many next commits are answered as unknown and done after `late_ms_`.
+  bool down_ = false;     ///< Every call fails with store_unavailable and has no effect.
+  int lose_answers_ = 0;  ///< Commits that are applied but fail with store_unknown.
+  int lose_calls_ = 0;    ///< Commits that are not applied and fail with store_unknown.
+  int late_commits_ = 0;  ///< Commits that fail with store_unknown and are applied after `late_ms_`.
   milliseconds late_ms_ = 50;
-  bool history_gone_ = false;  ///< The next look at the feed fails with store_conflict.
+  bool history_gone_ = false;  ///< The next read of the change feed fails with store_conflict.
 };
 
-/// For coroutines of one loop.
+/// Implements the store for the coroutines of one event loop. Not thread safe.
 class memory_row_store final : public row_store_interface {
  public:
   explicit memory_row_store(event_loop& loop) : loop_{&loop}, changed_{loop} {}
@@ -35,26 +35,26 @@
   auto parts(std::string table, std::string after, milliseconds time_left)
       -> task<result<std::vector<std::string>>> override;
 
-  /// Writes a row without a condition, as another party would.
+  /// Writes a row unconditionally, as another client of the store would.
   auto put(const row_key& key, const std::string& value) -> void;
 
-  /// Removes a row, as another party would.
+  /// Removes a row unconditionally, as another client of the store would.
   auto remove(const row_key& key) -> void;
 
-  /// The faults in force; tests set them.
+  /// Returns the injected faults, for tests to modify.
   auto faults() -> row_store_faults& { return faults_; }
 
-  /// Commits tried so far.
+  /// Returns the number of commit calls, including failed ones.
   [[nodiscard]] auto commits() const -> int { return commits_; }
 
-  /// Rows that stand.
+  /// Returns the number of stored rows.
   [[nodiscard]] auto size() const -> std::size_t { return rows_.size(); }
 
-  /// Reads tried so far.
+  /// Returns the number of read calls, including failed ones.
   [[nodiscard]] auto reads() const -> int { return reads_; }
 
  private:
-  using place = std::tuple<std::string, std::string, std::string>;
+  using row_id = std::tuple<std::string, std::string, std::string>;  ///< Table, partition, key.
 
   auto apply(const row_transaction& transaction) -> commit_outcome;
   auto apply_late(row_transaction transaction, milliseconds delay) -> task<>;
@@ -63,7 +63,7 @@
   loop_signal changed_;
   row_store_faults faults_;
   steady_clock clock_;
-  std::map<place, stored_row> rows_;
+  std::map<row_id, stored_row> rows_;
   std::deque<stored_row> history_;
   std::int64_t version_ = 0;
   int commits_ = 0;
--- a/birchlever/storage/memory_table_store.cpp
+++ b/birchlever/storage/memory_table_store.cpp
@@ -11,7 +11,7 @@
   auto lock = std::lock_guard{mutex_};
   for (const auto& condition : transaction.conditions_) {
     if (version_of(condition.key_) != condition.version_) {
-      return error{error_code::store_conflict, "row " + condition.key_ + " has another version"};
+      return error{error_code::store_conflict, "version of row " + condition.key_ + " does not match"};
     }
   }
   auto version = ++last_version_;
--- a/birchlever/storage/memory_table_store.h
+++ b/birchlever/storage/memory_table_store.h
@@ -1,4 +1,4 @@
-/// A table service and object store in memory: for tests, explorations, hello_world and the stand-in.
+/// In-memory table service and object store, for tests, examples and the stand_ins program.
 #pragma once
 
 #include <map>
@@ -8,7 +8,7 @@
 
 namespace birchlever {
 
-/// Keeps rows and objects in maps; thread safe; never fails but on a condition.
+/// Stores rows and objects in maps. Thread safe. The only failure is store_conflict.
 class memory_table_store final : public table_store_interface {
  public:
   auto commit(const table_transaction& transaction) -> result<std::int64_t> override;
--- a/birchlever/storage/row_store_interface.cpp
+++ b/birchlever/storage/row_store_interface.cpp
@@ -5,18 +5,18 @@
 namespace birchlever {
 namespace {
 
-constexpr auto behind_key = '\x01';  // Makes the next key after a given one.
+constexpr auto next_key_suffix = '\x01';  // Appended to a key to continue reading after it.
 
 }  // namespace
 
 auto read_all(row_store_interface& rows, row_range range, milliseconds page_limit, milliseconds time_left)
     -> task<result<row_page>> {
   auto clock = steady_clock{};
-  auto until = clock.now() + time_left;
+  auto deadline = clock.now() + time_left;
   auto all = row_page{};
   auto more = true;
   while (more) {
-    auto page = co_await rows.read(range, std::min(page_limit, until - clock.now()));
+    auto page = co_await rows.read(range, std::min(page_limit, deadline - clock.now()));
     if (!ok(page)) {
       co_return failure(page);
     }
@@ -28,7 +28,7 @@
       all.rows_.push_back(std::move(row));
     }
     if (more) {
-      range.from_ = all.rows_.back().key_.key_ + behind_key;
+      range.from_ = all.rows_.back().key_.key_ + next_key_suffix;
     }
   }
   co_return all;
--- a/birchlever/storage/row_store_interface.h
+++ b/birchlever/storage/row_store_interface.h
@@ -1,4 +1,4 @@
-/// The platform's table service as the event loop uses it: rows in parts of tables, and a feed of changes.
+/// Asynchronous interface of the platform's table service: partitioned tables with a change feed.
 #pragma once
 
 #include <cstdint>
@@ -11,15 +11,15 @@
 
 namespace birchlever {
 
-/// Names a row. Rows of one part can be changed in one transaction.
+/// Identifies a row. A transaction can change rows of one partition only.
 struct row_key {
   std::string table_;
   std::string part_;
   std::string key_;
 };
 
-/// A row as stored. The version is that of the transaction that wrote it; `removed_` marks a row that the
-/// feed tells as gone.
+/// A stored row with the version of the transaction that wrote it. `removed_` marks a deletion in the change
+/// feed.
 struct stored_row {
   row_key key_;
   std::string value_;
@@ -27,19 +27,19 @@
   bool removed_ = false;
 };
 
-/// The row must have this version for the transaction to commit; 0 means absent.
+/// Requires a row to have a version for a transaction to commit; 0 requires it to be absent.
 struct version_condition {
   row_key key_;
   std::int64_t version_ = 0;
 };
 
-/// What a write is for, the most urgent first.
+/// Priority of a write by its purpose, highest first.
 enum class write_rank { ends_turn, continues_program, begins_program, late_program, cleans_up };
 
-/// How many ranks there are.
+/// Number of write priorities.
 inline constexpr auto write_ranks = std::size_t{5};
 
-/// All conditions hold and all changes are made, or nothing is. All keys share one part.
+/// An atomic, conditional change of rows of one partition.
 struct row_transaction {
   std::vector<version_condition> conditions_;
   std::vector<stored_row> puts_;  ///< Versions are ignored.
@@ -47,23 +47,23 @@
   write_rank rank_ = write_rank::cleans_up;
 };
 
-/// What a transaction that was answered did.
+/// The outcome of a transaction that the store processed.
 struct commit_outcome {
   bool committed_ = false;
-  std::int64_t version_ = 0;           ///< Given to every row that was put.
-  std::vector<stored_row> conflicts_;  ///< When not committed: the rows of the conditions as they stand.
-  milliseconds store_now_ = 0;         ///< The store's own steady clock.
+  std::int64_t version_ = 0;           ///< Version of every row that was put.
+  std::vector<stored_row> conflicts_;  ///< If not committed, the current rows of the conditions.
+  milliseconds store_now_ = 0;         ///< Time of the store's monotonic clock.
 };
 
-/// Rows as of one moment.
+/// A consistent page of rows.
 struct row_page {
   std::vector<stored_row> rows_;
   bool more_ = false;
-  std::int64_t version_ = 0;  ///< Newest version of the store that the page reflects.
+  std::int64_t version_ = 0;  ///< Newest store version that the page reflects.
   milliseconds store_now_ = 0;
 };
 
-/// Which rows to read: keys from `from_` on, before `until_` when that is not empty.
+/// A range of keys to read: from `from_`, inclusive, to `until_`, exclusive, or to the end if it is empty.
 struct row_range {
   std::string table_;
   std::string part_;
@@ -72,41 +72,41 @@
   int limit_ = 500;
 };
 
-/// A table service with conditional transactions. Failures of all calls: store_unavailable (nothing was
-/// done), store_unknown (no answer: it may have been done, or be done seconds later, if its conditions still
-/// hold), internal (the store refused the call as wrong).
+/// A table service with conditional transactions. Calls fail with store_unavailable (not applied),
+/// store_unknown (no response; the call may have been applied, or be applied later if its conditions still
+/// hold) or internal (the store rejected the call as invalid).
 class row_store_interface {
  public:
   virtual ~row_store_interface() = default;
 
-  /// False while the store answers nobody here: tries would only add to the calls that fail.
+  /// Returns false while calls to the store are expected to fail.
   [[nodiscard]] virtual auto reachable() const -> bool = 0;
 
-  /// Waits until the store answers again, at most so long. True when it does.
+  /// Waits up to `limit` ms until the store is reachable. Returns whether it is.
   virtual auto wait_until_reachable(milliseconds limit) -> task<bool> = 0;
 
-  /// How long a write of this rank would wait, in ms, before it could be sent: the store's rate is shared.
+  /// Returns how long in ms a write of this priority would wait for the shared rate limit before it is sent.
   [[nodiscard]] virtual auto expected_write_wait(write_rank /*rank*/) const -> milliseconds { return 0; }
 
-  /// Applies a transaction within the time given.
+  /// Applies a transaction within `time_left` ms.
   virtual auto commit(row_transaction transaction, milliseconds time_left)
       -> task<result<commit_outcome>> = 0;
 
-  /// Reads one page of rows.
+  /// Reads one page of rows within `time_left` ms.
   virtual auto read(row_range range, milliseconds time_left) -> task<result<row_page>> = 0;
 
-  /// Waits up to `wait` ms for changes of a table after a version. Failures beside the common ones:
-  /// store_conflict when the store has forgotten the history since then; scan anew.
+  /// Waits up to `wait` ms for changes of a table after a version. Also fails with store_conflict if the
+  /// store no longer has the history since that version; the caller must rescan the table.
   virtual auto changes(std::string table, std::int64_t after, milliseconds wait)
       -> task<result<row_page>> = 0;
 
-  /// The parts of a table after the given one, in order, 1,000 at most.
+  /// Returns up to 1,000 partitions of a table that sort after the given one, in order.
   virtual auto parts(std::string table, std::string after, milliseconds time_left)
       -> task<result<std::vector<std::string>>> = 0;
 };
 
-/// Reads all pages of a range, each within `page_limit` and all within `time_left` ms. The version is the
-/// oldest that a page reflects. Failures: those of read.
+/// Reads all pages of a range, each within `page_limit` ms and all within `time_left` ms. The returned
+/// version is the oldest of all pages. Failures: those of row_store_interface::read.
 auto read_all(row_store_interface& rows, row_range range, milliseconds page_limit, milliseconds time_left)
     -> task<result<row_page>>;
 
--- a/birchlever/storage/table_store_interface.h
+++ b/birchlever/storage/table_store_interface.h
@@ -1,4 +1,4 @@
-/// The platform's transactional table service and object store, as the library needs them.
+/// Interface of a transactional table service and object store.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,8 @@
 
 namespace birchlever {
 
-/// A row as stored. The version rises with every write; the write id names the write that made it.
+/// A stored row. The version increases with every write; the write id identifies the transaction that wrote
+/// it.
 struct table_row {
   std::string key_;
   std::string value_;
@@ -18,7 +19,7 @@
   std::string write_id_;
 };
 
-/// A row that must have the given version for a transaction to commit; version 0 means absent.
+/// Requires a row to have a version for a transaction to commit; 0 requires it to be absent.
 struct table_condition {
   std::string key_;
   std::int64_t version_ = 0;
@@ -30,7 +31,7 @@
   std::string value_;
 };
 
-/// All conditions are checked and all changes made together, or nothing is.
+/// An atomic, conditional change of rows.
 struct table_transaction {
   std::string write_id_;
   std::vector<table_condition> conditions_;
@@ -38,30 +39,29 @@
   std::vector<std::string> deletes_;
 };
 
-/// What embedders supply: a table service with transactions, and an object store.
-/// Failures: store_conflict (a condition did not hold), store_unavailable (surely not applied),
-/// store_unknown (the write may have taken effect; read back by write id).
+/// Implemented by embedders. Calls fail with store_conflict (a condition did not hold), store_unavailable
+/// (not applied) or store_unknown (the write may have been applied; read the row and compare its write id).
 class table_store_interface {
  public:
   virtual ~table_store_interface() = default;
 
-  /// Applies a transaction. The value is the version given to every row it put.
+  /// Applies a transaction. Returns the version of every row that was put.
   virtual auto commit(const table_transaction& transaction) -> result<std::int64_t> = 0;
 
-  /// Reads one row; an empty optional when it does not exist.
+  /// Reads one row. Returns an empty optional if it does not exist.
   virtual auto read(const std::string& key) -> result<std::optional<table_row>> = 0;
 
-  /// Reads up to limit rows with the prefix, in key order, after the given key.
+  /// Reads up to `limit` rows whose keys have the prefix and sort after `after`, in key order.
   virtual auto scan(const std::string& prefix, const std::string& after, int limit)
       -> result<std::vector<table_row>> = 0;
 
-  /// Stores an object whole, replacing any of that name.
+  /// Stores an object, replacing any existing one.
   virtual auto put_object(const std::string& key, const std::string& bytes) -> status = 0;
 
-  /// Reads an object; an empty optional when it does not exist.
+  /// Reads an object. Returns an empty optional if it does not exist.
   virtual auto get_object(const std::string& key) -> result<std::optional<std::string>> = 0;
 
-  /// Removes an object; removing what is not there succeeds.
+  /// Removes an object. Succeeds if it does not exist.
   virtual auto delete_object(const std::string& key) -> status = 0;
 };
 
--- a/birchlever/storage/vm_list.cpp
+++ b/birchlever/storage/vm_list.cpp
@@ -54,19 +54,19 @@
     : target_{std::move(target)}, pool_{std::move(pool)} {}
 
 auto vm_list::fetch() -> result<std::vector<vm_entry>> {
-  auto answer = pool_->request(target_, "GET", "/vms", "");
-  if (!ok(answer) || value(answer).status_ != 200) {
-    return error{error_code::store_unavailable, "VM list gives no answer"};
+  auto response = pool_->request(target_, "GET", "/vms", "");
+  if (!ok(response) || value(response).status_ != 200) {
+    return error{error_code::store_unavailable, "no response from the VM list"};
   }
-  auto body = nlohmann::json::parse(value(answer).body_, nullptr, false);
+  auto body = nlohmann::json::parse(value(response).body_, nullptr, false);
   try {
     auto entries = std::vector<vm_entry>{};
     for (const auto& entry : body.at("vms")) {
       entries.push_back(entry_from_json(entry));
     }
     return entries;
-  } catch (const nlohmann::json::exception& fault) {
-    return error{error_code::malformed_json, std::string{"VM list is not readable: "} + fault.what()};
+  } catch (const nlohmann::json::exception& exception) {
+    return error{error_code::malformed_json, std::string{"malformed VM list: "} + exception.what()};
   }
 }
 
--- a/birchlever/storage/vm_list.h
+++ b/birchlever/storage/vm_list.h
@@ -1,4 +1,4 @@
-/// The platform's lagging list of live and leaving VMs: daemons and upstreams.
+/// The platform's eventually consistent list of VMs that run daemons and upstreams.
 #pragma once
 
 #include <memory>
@@ -12,30 +12,30 @@
 /// What a listed VM runs.
 enum class vm_kind { daemon, engine, service };
 
-/// One entry of the list.
+/// A listed VM.
 struct vm_entry {
   std::string id_;
   vm_kind kind_ = vm_kind::engine;
   endpoint address_;  ///< Peer address of a daemon, HTTP address of an upstream.
   std::string data_hall_;
   bool leaving_ = false;
-  bool checks_fence_ = true;  ///< The upstream refuses orders that carry an old fencing number.
-  std::string service_;       ///< Name of the plain service, for services.
+  bool checks_fence_ = true;  ///< The upstream rejects requests with an outdated fencing token.
+  std::string service_;       ///< Service name; only for kind `service`.
   std::vector<std::string> models_;
   std::string role_;  ///< Engine role: "both", "prefill", "decode" or "spare".
 };
 
-/// The stable name of a kind.
+/// Returns the name of a kind as used in JSON.
 [[nodiscard]] auto name_of(vm_kind kind) -> std::string_view;
 
-/// Reads the list from the platform.
+/// Client of the platform's VM list.
 class vm_list {
  public:
-  /// A list at the given address. Failures: invalid_setting.
+  /// Creates a client for the list at "ip:port". Failures: invalid_setting.
   static auto create(const std::string& address, const http_pool_settings& settings)
       -> result<std::shared_ptr<vm_list>>;
 
-  /// The newest list the platform gives. Failures: store_unavailable.
+  /// Fetches the current list. Failures: store_unavailable, malformed_json.
   auto fetch() -> result<std::vector<vm_entry>>;
 
  private:
