--- a/birchlever/core/base64.cpp
+++ b/birchlever/core/base64.cpp
@@ -5,8 +5,8 @@
 namespace birchlever {
 namespace {
 
-constexpr auto bytes_a_group = std::size_t{3};
-constexpr auto letters_a_group = std::size_t{4};
+constexpr auto bytes_per_group = std::size_t{3};
+constexpr auto characters_per_group = std::size_t{4};
 
 auto unsigned_bytes(const char* bytes) -> const unsigned char* {
   return reinterpret_cast<const unsigned char*>(bytes);
@@ -15,8 +15,8 @@
 }  // namespace
 
 auto to_base64(std::string_view bytes) -> std::string {
-  auto groups = (bytes.size() + bytes_a_group - 1) / bytes_a_group;
-  auto text = std::string(groups * letters_a_group + 1, '\0');  // OpenSSL adds a terminating zero.
+  auto groups = (bytes.size() + bytes_per_group - 1) / bytes_per_group;
+  auto text = std::string(groups * characters_per_group + 1, '\0');  // OpenSSL adds a terminating zero.
   auto length = EVP_EncodeBlock(reinterpret_cast<unsigned char*>(text.data()), unsigned_bytes(bytes.data()),
                                 static_cast<int>(bytes.size()));
   text.resize(static_cast<std::size_t>(length));
@@ -24,10 +24,10 @@
 }
 
 auto from_base64(std::string_view text) -> std::optional<std::string> {
-  if (text.size() % letters_a_group != 0) {
+  if (text.size() % characters_per_group != 0) {
     return std::nullopt;
   }
-  auto bytes = std::string(text.size() / letters_a_group * bytes_a_group, '\0');
+  auto bytes = std::string(text.size() / characters_per_group * bytes_per_group, '\0');
   auto length = EVP_DecodeBlock(reinterpret_cast<unsigned char*>(bytes.data()), unsigned_bytes(text.data()),
                                 static_cast<int>(text.size()));
   if (length < 0) {
--- a/birchlever/core/base64.h
+++ b/birchlever/core/base64.h
@@ -1,4 +1,4 @@
-/// Base64 by OpenSSL, for bytes that travel inside JSON.
+/// Base64 encoding and decoding with OpenSSL.
 #pragma once
 
 #include <optional>
@@ -7,10 +7,10 @@
 
 namespace birchlever {
 
-/// The bytes as base64 with padding.
+/// Encodes bytes as padded base64.
 [[nodiscard]] auto to_base64(std::string_view bytes) -> std::string;
 
-/// The bytes behind padded base64; nothing when the text is not base64.
+/// Decodes padded base64. Returns nothing if the text is not valid base64.
 [[nodiscard]] auto from_base64(std::string_view text) -> std::optional<std::string>;
 
 }  // namespace birchlever
--- a/birchlever/core/clock.h
+++ b/birchlever/core/clock.h
@@ -1,4 +1,4 @@
-/// Time sources: one interface, the machine's monotonic clock, and a hand-driven one for tests.
+/// Monotonic time sources.
 #pragma once
 
 #include <atomic>
@@ -7,19 +7,19 @@
 
 namespace birchlever {
 
-/// Milliseconds on a clock that never goes back.
+/// A duration, or a time point of a monotonic clock, in ms.
 using milliseconds = std::int64_t;
 
-/// Where coordination parts read the time; never the wall clock.
+/// Interface of a monotonic clock.
 class clock_interface {
  public:
   virtual ~clock_interface() = default;
 
-  /// Milliseconds since an arbitrary start.
+  /// Returns the time in ms since an unspecified epoch.
   [[nodiscard]] virtual auto now() const -> milliseconds = 0;
 };
 
-/// The machine's monotonic clock.
+/// The system's monotonic clock.
 class steady_clock final : public clock_interface {
  public:
   [[nodiscard]] auto now() const -> milliseconds override {
@@ -28,12 +28,12 @@
   }
 };
 
-/// A clock that moves only when told, for deterministic tests and explorations.
+/// A clock that is advanced explicitly, for deterministic tests.
 class manual_clock final : public clock_interface {
  public:
   [[nodiscard]] auto now() const -> milliseconds override { return now_; }
 
-  /// Moves time forward.
+  /// Advances the time by `by` ms.
   auto advance(milliseconds by) -> void { now_ += by; }
 
  private:
--- a/birchlever/core/daemon_settings.cpp
+++ b/birchlever/core/daemon_settings.cpp
@@ -12,22 +12,22 @@
 
 using text_check = auto(*)(const std::string&) -> const char*;
 
-constexpr auto longest_name = std::size_t{64};
+constexpr auto max_name_length = std::size_t{64};
 
 auto ip(const std::string& text) -> const char* {
   auto parsed = in_addr{};
-  return inet_pton(AF_INET, text.c_str(), &parsed) == 1 ? nullptr : "is not an IPv4 number";
+  return inet_pton(AF_INET, text.c_str(), &parsed) == 1 ? nullptr : "is not an IPv4 address";
 }
 
 auto name(const std::string& text) -> const char* {
   if (text.empty()) {
-    return "must be given";
+    return "must not be empty";
   }
-  auto fine = [](unsigned char letter) {
-    return std::isalnum(letter) != 0 || letter == '-' || letter == '_';
+  auto is_allowed = [](unsigned char character) {
+    return std::isalnum(character) != 0 || character == '-' || character == '_';
   };
-  auto good = text.size() <= longest_name && std::all_of(text.begin(), text.end(), fine);
-  return good ? nullptr : "may hold up to 64 letters, digits, '-' and '_'";
+  auto valid = text.size() <= max_name_length && std::all_of(text.begin(), text.end(), is_allowed);
+  return valid ? nullptr : "must consist of at most 64 letters, digits, '-' and '_'";
 }
 
 auto name_or_empty(const std::string& text) -> const char* {
@@ -46,10 +46,10 @@
 auto address(const std::string& text) -> const char* {
   auto colon = text.rfind(':');
   if (colon == std::string::npos) {
-    return "is not ip:port";
+    return "does not have the form ip:port";
   }
   if (ip(text.substr(0, colon)) != nullptr) {
-    return "does not begin with an IPv4 number";
+    return "does not start with an IPv4 address";
   }
   auto digits = text.substr(colon + 1);
   auto numeric =
@@ -64,35 +64,35 @@
   return known ? nullptr : "is not debug, info, warning or error";
 }
 
-auto check_number(std::vector<setting_fault>& faults, const char* name, std::int64_t value,
-                  std::int64_t least, std::int64_t most, const char* unit) -> void {
-  if (value < least || value > most) {
+auto check_number(std::vector<setting_fault>& faults, const char* name, std::int64_t value, std::int64_t min,
+                  std::int64_t max, const char* unit) -> void {
+  if (value < min || value > max) {
     faults.push_back({name, std::to_string(value),
-                      "must be from " + std::to_string(least) + " to " + std::to_string(most) + " " + unit});
+                      "must be from " + std::to_string(min) + " to " + std::to_string(max) + " " + unit});
   }
 }
 
 auto check_text(std::vector<setting_fault>& faults, const char* name, const std::string& value,
-                text_check shape) -> void {
-  if (const auto* fault = shape(value)) {
+                text_check format) -> void {
+  if (const auto* fault = format(value)) {
     faults.push_back({name, value, fault});
   }
 }
 
 auto check_secret(std::vector<setting_fault>& faults, const char* name, const std::string& value) -> void {
   if (split_list(value).empty()) {
-    faults.push_back({name, "(hidden)", "must hold at least one key"});
+    faults.push_back({name, "(hidden)", "must contain at least one key"});
   }
 }
 
 auto check_relations(std::vector<setting_fault>& faults, const daemon_settings& settings) -> void {
   if (settings.lease_ms_ <= settings.lease_margin_ms_ + settings.lease_renew_ms_) {
     faults.push_back({"lease_ms", std::to_string(settings.lease_ms_),
-                      "must be longer than lease_margin_ms and lease_renew_ms together"});
+                      "must exceed the sum of lease_margin_ms and lease_renew_ms"});
   }
   if (settings.configuration_bound_ms_ <= settings.poll_ms_) {
-    faults.push_back({"configuration_bound_ms", std::to_string(settings.configuration_bound_ms_),
-                      "must be longer than poll_ms"});
+    faults.push_back(
+        {"configuration_bound_ms", std::to_string(settings.configuration_bound_ms_), "must exceed poll_ms"});
   }
   if (settings.http_port_ == settings.peer_port_) {
     faults.push_back({"peer_port", std::to_string(settings.peer_port_), "must differ from http_port"});
@@ -106,10 +106,11 @@
 
 auto check_settings(const daemon_settings& settings) -> std::vector<setting_fault> {
   auto faults = std::vector<setting_fault>{};
-#define NUMBER_SETTING(name, standard, least, most, unit, purpose) \
-  check_number(faults, #name, settings.name##_, least, most, unit);
-#define TEXT_SETTING(name, standard, shape, purpose) check_text(faults, #name, settings.name##_, shape);
-#define SECRET_SETTING(name, purpose) check_secret(faults, #name, settings.name##_);
+#define NUMBER_SETTING(name, default_value, min, max, unit, description) \
+  check_number(faults, #name, settings.name##_, min, max, unit);
+#define TEXT_SETTING(name, default_value, format, description) \
+  check_text(faults, #name, settings.name##_, format);
+#define SECRET_SETTING(name, description) check_secret(faults, #name, settings.name##_);
 #include "birchlever/core/settings.def"
 #undef NUMBER_SETTING
 #undef TEXT_SETTING
@@ -120,11 +121,11 @@
 
 auto describe_settings() -> std::string {
   auto text = std::ostringstream{};
-#define NUMBER_SETTING(name, standard, least, most, unit, purpose) \
-  text << "  --" #name " (" unit ", " #least " to " #most ", default " #standard "): " purpose "\n";
-#define TEXT_SETTING(name, standard, shape, purpose) \
-  text << "  --" #name " (text, default '" standard "'): " purpose "\n";
-#define SECRET_SETTING(name, purpose) text << "  --" #name " (secret): " purpose "\n";
+#define NUMBER_SETTING(name, default_value, min, max, unit, description) \
+  text << "  --" #name " (" unit ", " #min " to " #max ", default " #default_value "): " description "\n";
+#define TEXT_SETTING(name, default_value, format, description) \
+  text << "  --" #name " (text, default '" default_value "'): " description "\n";
+#define SECRET_SETTING(name, description) text << "  --" #name " (secret): " description "\n";
 #include "birchlever/core/settings.def"
 #undef NUMBER_SETTING
 #undef TEXT_SETTING
--- a/birchlever/core/daemon_settings.h
+++ b/birchlever/core/daemon_settings.h
@@ -1,4 +1,4 @@
-/// The checked settings of a daemon, from flags and environment variables (BIRCHLEVER_<NAME>).
+/// Settings of a daemon, read from flags and environment variables (BIRCHLEVER_<NAME>), and their validation.
 #pragma once
 
 #include <cstdint>
@@ -9,31 +9,31 @@
 
 namespace birchlever {
 
-/// Every setting by name. Defaults, ranges and units are in settings.def.
+/// All settings. Defaults, ranges and units are defined in settings.def.
 struct daemon_settings {
-#define NUMBER_SETTING(name, standard, least, most, unit, purpose) std::int64_t name##_ = standard;
-#define TEXT_SETTING(name, standard, shape, purpose) std::string name##_ = standard;
-#define SECRET_SETTING(name, purpose) std::string name##_;
+#define NUMBER_SETTING(name, default_value, min, max, unit, description) std::int64_t name##_ = default_value;
+#define TEXT_SETTING(name, default_value, format, description) std::string name##_ = default_value;
+#define SECRET_SETTING(name, description) std::string name##_;
 #include "birchlever/core/settings.def"
 #undef NUMBER_SETTING
 #undef TEXT_SETTING
 #undef SECRET_SETTING
 };
 
-/// What is wrong with one setting.
+/// An invalid setting and the reason.
 struct setting_fault {
   std::string name_;
   std::string value_;  ///< Hidden for secrets.
   std::string reason_;
 };
 
-/// All faults of the settings at once, those between settings included; none when they are good.
+/// Validates all settings and the relations between them. Returns all errors found.
 [[nodiscard]] auto check_settings(const daemon_settings& settings) -> std::vector<setting_fault>;
 
-/// The table of settings as text for people, one line each.
+/// Returns a help text with one line per setting.
 [[nodiscard]] auto describe_settings() -> std::string;
 
-/// Splits a comma-separated list, leaving out empty entries.
+/// Splits a comma-separated list, skipping empty entries.
 [[nodiscard]] auto split_list(const std::string& text) -> std::vector<std::string>;
 
 }  // namespace birchlever
--- a/birchlever/core/error.cpp
+++ b/birchlever/core/error.cpp
@@ -65,7 +65,7 @@
 };
 
 static_assert(error_table.size() == static_cast<std::size_t>(error_code::internal) + 1,
-              "every error code needs its row");
+              "error_table must have one row per error code");
 
 auto row_of(error_code code) -> const error_row& {
   return error_table.at(static_cast<std::size_t>(code));
--- a/birchlever/core/error.h
+++ b/birchlever/core/error.h
@@ -1,4 +1,4 @@
-/// Typed failures of the whole system: each has a code, a name, and says whether the request ran.
+/// Error type of the library: a code, a message, and whether the failed request may have run.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 /// Whether a failed request may have run on an upstream.
 enum class ran_state { not_run, ran, outcome_unknown };
 
-/// Every failure the system reports. The table in error.cpp gives name, HTTP status and default ran state.
+/// Error codes. The table in error.cpp maps each to its name and HTTP status.
 enum class error_code {
   malformed_json,
   body_too_large,
@@ -63,7 +63,7 @@
   internal,
 };
 
-/// A failure with the detail a person needs and the time after which asking again is worthwhile.
+/// A failure with a human-readable message and the time after which to retry (0 if none is suggested).
 struct error {
   error_code code_ = error_code::internal;
   std::string detail_;
@@ -71,16 +71,16 @@
   std::int64_t retry_after_ms_ = 0;
 };
 
-/// The stable name of a code, as callers see it.
+/// Returns the name of a code as sent to callers.
 [[nodiscard]] auto name_of(error_code code) -> std::string_view;
 
-/// The name of a ran state, as callers see it.
+/// Returns the name of a ran state as sent to callers.
 [[nodiscard]] auto name_of(ran_state state) -> std::string_view;
 
-/// The HTTP status that carries a code to callers.
+/// Returns the HTTP status of responses with this code.
 [[nodiscard]] auto http_status_of(error_code code) -> int;
 
-/// The error as the JSON body callers receive.
+/// Returns the JSON body of an error response.
 [[nodiscard]] auto to_json_text(const error& failure) -> std::string;
 
 }  // namespace birchlever
--- a/birchlever/core/hashing.cpp
+++ b/birchlever/core/hashing.cpp
@@ -17,8 +17,8 @@
   return static_cast<int>(hash_of(program, seed) % static_cast<std::uint64_t>(shard_count));
 }
 
-auto rendezvous_weight(std::string_view candidate, std::string_view subject) -> std::uint64_t {
-  return hash_of(candidate, hash_of(subject));
+auto rendezvous_weight(std::string_view candidate, std::string_view key) -> std::uint64_t {
+  return hash_of(candidate, hash_of(key));
 }
 
 auto random_id() -> std::string {
--- a/birchlever/core/result.h
+++ b/birchlever/core/result.h
@@ -1,4 +1,4 @@
-/// A value or a typed error, as a std::variant with short accessors.
+/// A value or an error, as a std::variant with accessors.
 #pragma once
 
 #include <cassert>
@@ -9,44 +9,44 @@
 
 namespace birchlever {
 
-/// Either a T or the reason there is none.
+/// Either a T or an error.
 template <class T>
 using result = std::variant<T, error>;
 
-/// The outcome of an action that yields nothing but success.
+/// The result of an operation without a return value.
 using status = result<std::monostate>;
 
-/// Success of an action that yields nothing.
+/// The successful status.
 inline constexpr auto success = std::monostate{};
 
-/// True when the result holds a value.
+/// Returns true if the result holds a value.
 template <class T>
 [[nodiscard]] auto ok(const result<T>& outcome) -> bool {
   return outcome.index() == 0;
 }
 
-/// The value of a successful result.
+/// Returns the value of a successful result.
 template <class T>
 [[nodiscard]] auto value(result<T>& outcome) -> T& {
   assert(ok(outcome));
   return std::get<0>(outcome);
 }
 
-/// The value of a successful result.
+/// Returns the value of a successful result.
 template <class T>
 [[nodiscard]] auto value(const result<T>& outcome) -> const T& {
   assert(ok(outcome));
   return std::get<0>(outcome);
 }
 
-/// The value of a successful result, moved out.
+/// Moves the value out of a successful result.
 template <class T>
 [[nodiscard]] auto value(result<T>&& outcome) -> T {
   assert(ok(outcome));
   return std::move(std::get<0>(outcome));
 }
 
-/// The error of a failed result.
+/// Returns the error of a failed result.
 template <class T>
 [[nodiscard]] auto failure(const result<T>& outcome) -> const error& {
   assert(!ok(outcome));
--- a/birchlever/core/test_switches.h
+++ b/birchlever/core/test_switches.h
@@ -1,4 +1,4 @@
-/// Named switches that exist only in tests: cut links and turn single mechanisms off.
+/// Process-wide test switches for injecting link faults and disabling single mechanisms.
 #pragma once
 
 #include <mutex>
@@ -8,35 +8,33 @@
 
 namespace birchlever {
 
-/// How a link misbehaves in a test.
+/// Simulated state of a link.
 enum class link_state { healthy, cut, answers_lost };
 
-/// Holds what a test has switched. All links are healthy and all mechanisms on unless a daemon was started
-/// with test controls, so production code pays one relaxed check.
+/// Registry of test switches. Unless test controls are enabled, all links are healthy and all mechanisms are
+/// on, at the cost of checking one flag.
 class test_switches {
  public:
-  /// The switches of this process.
+  /// Returns the switches of this process.
   static auto instance() -> test_switches&;
 
-  /// Allows switching; called once at start when test controls are set.
+  /// Enables test controls. Called once at startup if the setting test_controls is on.
   auto enable() -> void;
 
-  /// True when a test may switch things in this process.
+  /// Returns true if test controls are enabled.
   [[nodiscard]] auto enabled() const -> bool { return enabled_; }
 
-  /// Turns a mechanism off by name, to show that its scenario fails without it.
+  /// Disables a mechanism, to verify that its scenario fails without it.
   auto disable_mechanism(const std::string& name) -> void;
 
-  /// Turns a mechanism on again.
   auto enable_mechanism(const std::string& name) -> void;
 
-  /// True unless a test turned the mechanism off.
+  /// Returns true unless the mechanism is disabled.
   [[nodiscard]] auto mechanism_on(const std::string& name) const -> bool;
 
   /// Sets the state of the link to a target such as "store" or "127.0.0.2:9000".
   auto set_link(const std::string& target, link_state state) -> void;
 
-  /// The state of the link to a target.
   [[nodiscard]] auto link(const std::string& target) const -> link_state;
 
  private:
--- a/unit_tests/core/core_test.cpp
+++ b/unit_tests/core/core_test.cpp
@@ -10,7 +10,7 @@
 namespace birchlever {
 namespace {
 
-auto good_settings() -> daemon_settings {
+auto valid_settings() -> daemon_settings {
   auto settings = daemon_settings{};
   settings.data_hall_ = "zrh-a";
   settings.store_address_ = "127.0.0.1:9000";
@@ -22,9 +22,9 @@
 
 }  // namespace
 
-TEST_CASE("all faults of the settings are found at once, and secrets stay hidden") {
-  CHECK(check_settings(good_settings()).empty());
-  auto settings = good_settings();
+TEST_CASE("check_settings returns all errors at once and hides secrets") {
+  CHECK(check_settings(valid_settings()).empty());
+  auto settings = valid_settings();
   settings.listen_address_ = "localhost";
   settings.http_port_ = 0;
   settings.lease_ms_ = 2000;
@@ -38,13 +38,13 @@
   }
 }
 
-TEST_CASE("no setting makes the check itself fail") {
+TEST_CASE("check_settings accepts arbitrary setting values without failing") {
   auto generator = std::mt19937_64{9};
   for (auto round = 0; round < 2000; ++round) {
-    auto settings = good_settings();
+    auto settings = valid_settings();
     auto text = std::string(generator() % 20, ' ');
-    for (auto& letter : text) {
-      letter = static_cast<char>(generator() % 256);
+    for (auto& character : text) {
+      character = static_cast<char>(generator() % 256);
     }
     settings.store_address_ = text;
     settings.data_hall_ = text;
@@ -53,7 +53,7 @@
   }
 }
 
-TEST_CASE("programs spread evenly over shards, and accounts do not collide") {
+TEST_CASE("programs are distributed evenly over shards") {
   auto counts = std::vector<int>(12);
   for (auto program = 0; program < 12000; ++program) {
     ++counts[static_cast<std::size_t>(shard_of("notary", std::to_string(program), 12))];
@@ -67,7 +67,7 @@
   CHECK(!equal_secrets("abc", "abcd"));
 }
 
-TEST_CASE("retries are a bounded share of first attempts") {
+TEST_CASE("the retry budget limits retries to a fraction of first attempts") {
   auto budget = retry_budget{20};
   auto spent = 0;
   while (budget.spend()) {
@@ -82,21 +82,21 @@
   CHECK(spent == 19);
 }
 
-TEST_CASE("trace context is taken over from a good header and begun anew otherwise") {
+TEST_CASE("a trace context is parsed from a valid header, and a new one is created otherwise") {
   auto header = std::string{"00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"};
   CHECK(trace_context::from_header(header).to_header() == header);
   CHECK(trace_context::from_header("nonsense").trace_id_.size() == 32);
 }
 
-TEST_CASE("quantiles are right to within a bin") {
-  auto page = metrics{};
+TEST_CASE("histogram quantiles are accurate to within one bin") {
+  auto registry = metrics{};
   for (auto sample = 1; sample <= 1000; ++sample) {
-    page.observe("x_ms", sample);
+    registry.observe("x_ms", sample);
   }
-  auto known = page.quantiles_of("x_ms");
-  CHECK(known.p50_ == Approx(500).epsilon(0.15));
-  CHECK(known.p99_ == Approx(990).epsilon(0.15));
-  CHECK(page.to_prometheus().find("x_ms_count 1000") != std::string::npos);
+  auto quantiles = registry.quantiles_of("x_ms");
+  CHECK(quantiles.p50_ == Approx(500).epsilon(0.15));
+  CHECK(quantiles.p99_ == Approx(990).epsilon(0.15));
+  CHECK(registry.to_prometheus().find("x_ms_count 1000") != std::string::npos);
 }
 
 }  // namespace birchlever
--- a/unit_tests/core/log_sink_test.cpp
+++ b/unit_tests/core/log_sink_test.cpp
@@ -1,4 +1,4 @@
-/// The log never waits for its reader, and tells what it dropped.
+/// Tests that the log sink does not block on a slow reader and reports dropped lines.
 #include <unistd.h>
 
 #include <array>
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("lines of a full pipe wait, then are dropped and counted") {
+TEST_CASE("lines for a full pipe are buffered, then dropped and counted") {
   auto ends = std::array<int, 2>{};
   REQUIRE(::pipe(ends.data()) == 0);
   auto sink = log_sink{ends[1], 1000};
