--- a/unit_tests/platform/decode_test.cpp
+++ b/unit_tests/platform/decode_test.cpp
@@ -1,4 +1,4 @@
-/// The platform's records become the product's types, or typed errors.
+/// Tests of decoding the platform's records and headers.
 #include "platform/decode.h"
 
 #include <rapidcheck.h>
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-TEST_CASE("a configuration is read whole") {
+TEST_CASE("a configuration is decoded completely") {
   auto decoded = decode_configuration(configuration_text);
   REQUIRE(ok(decoded));
   const auto& configuration = value(decoded);
@@ -42,20 +42,20 @@
   REQUIRE(configuration.limits_.max_body_bytes_ == 200);
 }
 
-TEST_CASE("shares of a split follow the weights, and a subject keeps its service") {
+TEST_CASE("a split follows its weights, and a key is always assigned to the same service") {
   auto decoded = decode_configuration(configuration_text);
   const auto& split = value(decoded).routes_[0];
   auto first = 0;
-  for (auto subject = 0; subject < 2000; ++subject) {
-    auto name = std::to_string(subject);
-    REQUIRE(service_for(split, name) == service_for(split, name));
-    first += service_for(split, name) == "s1" ? 1 : 0;
+  for (auto number = 0; number < 2000; ++number) {
+    auto key = std::to_string(number);
+    REQUIRE(service_for(split, key) == service_for(split, key));
+    first += service_for(split, key) == "s1" ? 1 : 0;
   }
   REQUIRE(first > 1700);
   REQUIRE(first < 1900);
 }
 
-TEST_CASE("client accounts are read with digests of their keys, and bad ones are typed errors") {
+TEST_CASE("client accounts are decoded with key digests, and invalid ones are rejected") {
   auto with = [](const std::string& accounts) {
     return decode_configuration(R"({"version":7,"routes":[{"name":"r","host":"h","path_prefix":"/a/",
       "type":"safe","service":"s","public":true}],"services":[{"name":"s"}],"tenants":)" +
@@ -72,7 +72,7 @@
   CHECK(account->allotment_.rate_per_s_ == 304);
   CHECK(account->allotment_.burst_ == 30.5);
   CHECK(!value(decoded).accounts_->find("free")->allotment_.limited());
-  CHECK(value(with("[]")).accounts_ != nullptr);  // Accounts are told apart, and there is none.
+  CHECK(value(with("[]")).accounts_ != nullptr);  // Accounts are enabled, with an empty list.
   CHECK(value(decode_configuration(configuration_text)).accounts_ == nullptr);
   CHECK(failure(with(R"([{"name":"a","api_keys":["k"]},{"name":"b","api_keys":["k"]}])")).code_ ==
         error_code::invalid_account);
@@ -81,7 +81,7 @@
   CHECK(failure(with(R"([{"name":"a","rate_per_s":"x"}])")).code_ == error_code::wrong_type);
 }
 
-TEST_CASE("records that can't be read are typed errors") {
+TEST_CASE("malformed records are rejected with the matching error code") {
   REQUIRE(failure(decode_configuration("{")).code_ == error_code::malformed_json);
   REQUIRE(failure(decode_configuration("{}")).code_ == error_code::missing_field);
   REQUIRE(failure(decode_configuration(R"({"version":"x","routes":[],"services":[]})")).code_ ==
@@ -94,7 +94,7 @@
               .code_ == error_code::invalid_setting);
 }
 
-TEST_CASE("an upstream's entry says whether it leaves") {
+TEST_CASE("an upstream's entry is decoded with its state") {
   auto text = std::string{R"({"service":"s","address":"10.0.0.1:80","zone":"a","slots":6,"version":"v1",
     "cold_left_ms":250,"sequence":4,"state":")"};
   auto ready = decode_upstream("i1", text + R"(ready","born":1796300000123,"models":[{"name":"m"}]})");
@@ -108,7 +108,7 @@
   REQUIRE(value(leaving).born_ == 0);
 }
 
-TEST_CASE("a foreign entry names no upstream: a field missing, of another type, or a state unknown") {
+TEST_CASE("entries with a missing field, a field of the wrong type or an unknown state are rejected") {
   const auto good = nlohmann::json::parse(
       R"({"service":"s","address":"10.0.0.1:80","zone":"a","slots":6,"version":"v1","cold_left_ms":0,
           "sequence":4,"state":"ready","born":1796300000123,"models":[{"name":"m"}]})");
@@ -131,18 +131,18 @@
       auto changed = good;
       changed[field.key()] = other;
       INFO(changed.dump());
-      auto tolerable = field.key() == "cold_left_ms" && other == 1.5;
-      CHECK(ok(decode_upstream("i1", changed.dump())) == tolerable);
+      auto accepted = field.key() == "cold_left_ms" && other == 1.5;
+      CHECK(ok(decode_upstream("i1", changed.dump())) == accepted);
     }
   }
   CHECK_FALSE(ok(decode_upstream("i1", R"("text")")));
   CHECK_FALSE(ok(decode_upstream("i1", "\xff\xfe{")));
-  auto strange = good;
-  strange["state"] = "resting";
-  CHECK(failure(decode_upstream("i1", strange.dump())).code_ == error_code::wrong_type);
+  auto unknown_state = good;
+  unknown_state["state"] = "resting";
+  CHECK(failure(decode_upstream("i1", unknown_state.dump())).code_ == error_code::wrong_type);
 }
 
-TEST_CASE("a packed entry is read like the whole one, in less than half of the bytes") {
+TEST_CASE("a packed entry decodes like the JSON entry and has less than half of its size") {
   const auto good = std::string{
       R"({"service":"huvo11a","address":"10.128.0.9:8080","zone":"hall-a","version":"v1","slots":6,"state":"ready",)"
       R"("cold_left_ms":70,"stage":"both","models":[{"name":"m","version":1,"adapters":[]}],"sequence":4,"born":5})"};
@@ -156,16 +156,16 @@
   CHECK_FALSE(ok(decode_upstream("i1", packed.substr(0, packed.size() / 2))));
 }
 
-TEST_CASE("any change of a good entry's bytes is read as it stands or is a typed error") {
+TEST_CASE("mutated entries decode to a valid entry or an error") {
   const auto good = std::string{
       R"({"service":"s","address":"10.0.0.1:80","zone":"a","slots":6,"version":"v1","cold_left_ms":0,)"
       R"("sequence":4,"state":"ready","born":1796300000123,"models":[{"name":"m"}]})"};
-  auto held = rc::check("mutated entries", [&good] {
+  auto passed = rc::check("mutated entries", [&good] {
     auto text = good;
     auto changes = *rc::gen::inRange(1, 6);
     for (auto change = 0; change < changes; ++change) {
-      auto place = static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(text.size())));
-      text[place] = *rc::gen::arbitrary<char>();
+      auto position = static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(text.size())));
+      text[position] = *rc::gen::arbitrary<char>();
     }
     auto decoded = decode_upstream("i1", text);
     if (ok(decoded)) {
@@ -175,16 +175,16 @@
       RC_ASSERT(!failure(decoded).detail_.empty());
     }
   });
-  CHECK(held);
+  CHECK(passed);
 }
 
-TEST_CASE("a row of the operators' table that closes a data hall is told from others") {
+TEST_CASE("evacuation rows of the operators' table are recognized by their key") {
   CHECK(evacuated_hall("evacuate/hall-a") == "hall-a");
   CHECK_FALSE(evacuated_hall("evacuate/"));
   CHECK_FALSE(evacuated_hall("config"));
 }
 
-TEST_CASE("regions and what cold upstreams bear are read from the configuration") {
+TEST_CASE("allowed regions and limits of cold upstreams are decoded") {
   auto decoded = decode_configuration(R"({"version":1,"routes":[{"name":"r","host":"h","path_prefix":"/a/",
       "type":"safe","service":"s","allowed_regions":["north"]}],
       "services":[{"name":"s","cold_start_s":3.0,"cold_per_s":32.0}],
@@ -196,18 +196,18 @@
   CHECK(value(decoded).find_service("s")->cold_start_ == 3000);
 }
 
-TEST_CASE("a route says whether its streams may be resumed") {
+TEST_CASE("a route's streams are resumable only if the configuration says so") {
   auto text =
       std::string{R"({"version":1,"services":[],"routes":[{"name":"r","host":"h","path_prefix":"/a/",)"};
-  auto plain = decode_configuration(text + R"("type":"streaming","service":"s"}]})");
-  auto told = decode_configuration(text + R"("type":"streaming","service":"s","resumable":true}]})");
-  REQUIRE(ok(plain));
-  REQUIRE(ok(told));
-  CHECK_FALSE(value(plain).routes_[0].resumable_);
-  CHECK(value(told).routes_[0].resumable_);
+  auto by_default = decode_configuration(text + R"("type":"streaming","service":"s"}]})");
+  auto resumable = decode_configuration(text + R"("type":"streaming","service":"s","resumable":true}]})");
+  REQUIRE(ok(by_default));
+  REQUIRE(ok(resumable));
+  CHECK_FALSE(value(by_default).routes_[0].resumable_);
+  CHECK(value(resumable).routes_[0].resumable_);
 }
 
-TEST_CASE("a stream is asked for behind an event, the caller's or ours") {
+TEST_CASE("the last event id is parsed from the caller's request and set for the upstream") {
   auto dialect = header_dialect{};
   auto request = http_request{http::verb::post, "/a/x", 11};
   request.set("X-Request-Id", "r1");
@@ -221,7 +221,7 @@
   CHECK_FALSE(ok(dialect.read(request)));
 }
 
-TEST_CASE("headers of a turn are read, unreadable ones named") {
+TEST_CASE("request headers are parsed, and errors name the malformed header") {
   auto dialect = header_dialect{};
   auto request = http_request{http::verb::post, "/a/x", 11};
   request.set("X-Request-Id", "r1");
@@ -241,9 +241,9 @@
                                                         {"X-Token-Usage", "5"},
                                                         {"X-Token-Budget", "-5"},
                                                         {"X-Deadline-Ms", "soon"}}) {
-    auto broken = request;
-    broken.set(name, content);
-    auto read = dialect.read(broken);
+    auto malformed = request;
+    malformed.set(name, content);
+    auto read = dialect.read(malformed);
     REQUIRE_FALSE(ok(read));
     REQUIRE(failure(read).code_ == error_code::malformed_request);
     REQUIRE(failure(read).detail_.find(name) != std::string::npos);
--- a/unit_tests/platform/store_client_test.cpp
+++ b/unit_tests/platform/store_client_test.cpp
@@ -1,4 +1,4 @@
-/// The store's client against a stand-in that speaks the store's calls: what each kind of answer means.
+/// Tests of the store client against a fake store server.
 #include "platform/store_client.h"
 #include "platform/store_format.h"
 
@@ -11,19 +11,20 @@
 namespace birchlever::platform {
 namespace {
 
-/// Answers calls by a script: a status and body, or nothing at all.
-class store_stand_in {
+/// An HTTP server that responds to calls with scripted steps: a status and body, or no response.
+class fake_store {
  public:
   struct step {
     unsigned status_ = 200;
     std::string body_ = R"({"ver":5,"now_ms":100})";
-    bool silent_ = false;
+    bool no_response_ = false;
   };
 
-  store_stand_in() {
-    auto probe = asio::ip::tcp::acceptor{loop_, asio::ip::tcp::endpoint{asio::ip::address_v4::loopback(), 0}};
-    address_ = probe.local_endpoint();
-    probe.close();
+  fake_store() {
+    auto acceptor =
+        asio::ip::tcp::acceptor{loop_, asio::ip::tcp::endpoint{asio::ip::address_v4::loopback(), 0}};
+    address_ = acceptor.local_endpoint();
+    acceptor.close();
     auto text = "127.0.0.1:" + std::to_string(address_.port());
     auto listening =
         http_listener::create(loop_, text, [this](auto connection) { return serve(connection); });
@@ -38,14 +39,14 @@
   template <class T>
   auto run(task<result<T>> call) -> result<T> {
     auto outcome = std::optional<result<T>>{};
-    auto wait = [](task<result<T>> wanted, std::optional<result<T>>& into) -> task<> {
-      into = co_await std::move(wanted);
+    auto wait = [](task<result<T>> pending, std::optional<result<T>>& into) -> task<> {
+      into = co_await std::move(pending);
     };
     start(loop_, "run", wait(std::move(call), outcome));
     auto clock = steady_clock{};
-    auto give_up = clock.now() + 5000;
+    auto deadline = clock.now() + 5000;
     loop_.restart();
-    while (!outcome && clock.now() < give_up) {
+    while (!outcome && clock.now() < deadline) {
       loop_.run_one_for(std::chrono::milliseconds{50});
     }
     REQUIRE(outcome);
@@ -79,14 +80,14 @@
         next = steps_.front();
         steps_.pop_front();
       }
-      if (next.silent_) {
+      if (next.no_response_) {
         co_await pause_for(loop_, 2000);
         break;
       }
-      auto answer = http_response{static_cast<http::status>(next.status_), 11};
-      answer.body() = next.body_;
-      answer.prepare_payload();
-      co_await connection->write(std::move(answer));
+      auto response = http_response{static_cast<http::status>(next.status_), 11};
+      response.body() = next.body_;
+      response.prepare_payload();
+      co_await connection->write(std::move(response));
     }
     connection->close();
   }
@@ -97,8 +98,8 @@
 
 }  // namespace
 
-TEST_CASE("a transaction carries conditions and base64 values, and yields the new version") {
-  auto store = store_stand_in{};
+TEST_CASE("a transaction is sent with conditions and base64 values and returns the new version") {
+  auto store = fake_store{};
   auto outcome = store.commit();
   REQUIRE(ok(outcome));
   REQUIRE(value(outcome).committed_);
@@ -108,8 +109,8 @@
   REQUIRE(store.calls_[0].find("\"ver\":3") != std::string::npos);
 }
 
-TEST_CASE("a condition that did not hold yields the rows as they stand") {
-  auto store = store_stand_in{};
+TEST_CASE("a failed condition returns the current rows") {
+  auto store = fake_store{};
   store.steps_ = {
       {412,
        R"({"ver":9,"now_ms":1,"rows":[{"table":"t","part":"p","private_key":"k","value":"YWI=","ver":8}]})"}};
@@ -120,22 +121,22 @@
   REQUIRE(value(outcome).conflicts_.at(0).version_ == 8);
 }
 
-TEST_CASE("a lost answer is asked for again with the same conditions") {
-  auto store = store_stand_in{};
+TEST_CASE("a call without a response is repeated unchanged") {
+  auto store = fake_store{};
   store.steps_ = {{200, "", true}};
   REQUIRE(ok(store.commit()));
   REQUIRE(store.calls_.size() == 2);
   REQUIRE(store.calls_[0] == store.calls_[1]);
 }
 
-TEST_CASE("no answer at all is unknown, a refusal is not done") {
-  auto store = store_stand_in{};
+TEST_CASE("a commit without any response is unknown, a refused one was not applied") {
+  auto store = fake_store{};
   store.steps_ = {{200, "", true}, {200, "", true}, {200, "", true},
                   {200, "", true}, {200, "", true}, {200, "", true}};
   auto lost = store.commit(300);
   REQUIRE(failure(lost).code_ == error_code::store_unknown);
   REQUIRE(failure(lost).ran_ == ran_state::outcome_unknown);
-  auto refusing = store_stand_in{};
+  auto refusing = fake_store{};
   refusing.steps_ = {{503, ""}, {503, ""}};
   auto refused = refusing.commit(300);
   REQUIRE(failure(refused).code_ == error_code::store_unavailable);
@@ -145,10 +146,10 @@
   REQUIRE(refusing.client_->reachable());
 }
 
-TEST_CASE("an answer that is not JSON, or holds no base64, is unknown and never empty") {
+TEST_CASE("a response with malformed JSON or base64 is store_unknown, not an empty page") {
   for (const auto* body :
        {"<html>", R"({"ver":1,"rows":[{"private_key":"k","value":"###"}]})", R"({"rows":[]})"}) {
-    auto store = store_stand_in{};
+    auto store = fake_store{};
     store.steps_ = {{200, body}};
     auto page = store.run(store.client_->read({"t", "p", "", ""}, 500));
     REQUIRE_FALSE(ok(page));
@@ -156,7 +157,7 @@
   }
 }
 
-TEST_CASE("an answer without its version or the store's clock is as good as none") {
+TEST_CASE("a response without a version or the store's time is store_unknown") {
   for (const auto* body : {R"({"ver":5})", R"({"now_ms":7})", R"({"rows":[],"ver":5})"}) {
     CHECK(failure(decode_outcome(body, true)).code_ == error_code::store_unknown);
     CHECK(failure(decode_page(body)).code_ == error_code::store_unknown);
@@ -164,63 +165,62 @@
   CHECK(value(decode_outcome(R"({"ver":5,"now_ms":7})", true)).store_now_ == 7);
 }
 
-TEST_CASE("a client that the store turns away calls through a peer, and directly again when it can") {
-  auto store = store_stand_in{};
+TEST_CASE("calls are relayed through a peer while the store refuses this daemon") {
+  auto store = fake_store{};
   store.steps_ = {{503, ""}, {503, ""}};
   REQUIRE_FALSE(ok(store.commit(300)));
   REQUIRE_FALSE(store.client_->reachable());
   store.client_->set_relay(
-      [&] { return std::optional{store.address()}; });  // The stand-in plays the peer, too.
+      [&] { return std::optional{store.address()}; });  // The fake store also acts as the peer.
   REQUIRE(store.client_->reachable());
   store.calls_.clear();
   REQUIRE(ok(store.commit(300)));
   REQUIRE(store.calls_.at(0).substr(0, 7) == "/relay/");
   auto clock = steady_clock{};
-  auto give_up = clock.now() + 3000;
+  auto deadline = clock.now() + 3000;
   auto direct = false;
-  while (!direct && clock.now() < give_up) {  // The probe finds the store answering again.
+  while (!direct && clock.now() < deadline) {  // Until a probe finds the store reachable.
     store.run(store.client_->read({"t", "p", "", ""}, 100));
     direct = store.calls_.back().substr(0, 7) != "/relay/";
   }
   REQUIRE(direct);
 }
 
-TEST_CASE("a store at its rate limit is asked again with growing gaps and is not taken for away") {
-  auto store = store_stand_in{};
+TEST_CASE("throttled calls are retried with exponential backoff and the store stays reachable") {
+  auto store = fake_store{};
   store.steps_ = {{429, ""}, {429, ""}, {429, ""}};
   auto clock = steady_clock{};
-  auto began = clock.now();
+  auto started = clock.now();
   REQUIRE(ok(store.commit(1000)));
   REQUIRE(store.client_->reachable());
   REQUIRE(store.calls_.size() == 4);
   REQUIRE(store.client_->usage().throttled_ == 3);
-  REQUIRE(clock.now() - began >= 15 + 30 + 60);  // Half of each gap at least.
+  REQUIRE(clock.now() - started >= 15 + 30 + 60);  // The minimum of each jittered delay.
 }
 
-TEST_CASE("a store that throttles this daemon without end is away for it") {
-  auto store = store_stand_in{};
-  store.steps_ = std::deque<store_stand_in::step>(40, {429, ""});
+TEST_CASE("a store that throttles this daemon persistently is unreachable") {
+  auto store = fake_store{};
+  store.steps_ = std::deque<fake_store::step>(40, {429, ""});
   auto refused = store.commit(3000);
   REQUIRE(failure(refused).code_ == error_code::store_unavailable);
   REQUIRE_FALSE(store.client_->reachable());
 }
 
-TEST_CASE("a relayed call that got no answer may have been done") {
+TEST_CASE("a relayed call without a response is store_unknown") {
   auto request = http_request{http::verb::post, "/relay/birchlever/rows-tx", 11};
   REQUIRE(store_client::is_relay(request));
   REQUIRE_FALSE(store_client::is_relay(http_request{http::verb::get, "/metrics", 11}));
-  auto turned_away = store_stand_in{};
-  turned_away.steps_ = {{503, ""}, {503, ""}};
-  REQUIRE_FALSE(ok(turned_away.commit(200)));
-  turned_away.steps_ = {{504, ""}, {504, ""}, {504, ""}, {504, ""},
-                        {504, ""}, {504, ""}, {504, ""}, {504, ""}};
-  turned_away.client_->set_relay([&] { return std::optional{turned_away.address()}; });
-  auto lost = turned_away.commit(200);
+  auto store = fake_store{};
+  store.steps_ = {{503, ""}, {503, ""}};
+  REQUIRE_FALSE(ok(store.commit(200)));
+  store.steps_ = {{504, ""}, {504, ""}, {504, ""}, {504, ""}, {504, ""}, {504, ""}, {504, ""}, {504, ""}};
+  store.client_->set_relay([&] { return std::optional{store.address()}; });
+  auto lost = store.commit(200);
   REQUIRE(failure(lost).code_ == error_code::store_unknown);
 }
 
-TEST_CASE("forgotten history is told apart from a store that is away") {
-  auto store = store_stand_in{};
+TEST_CASE("truncated history is store_conflict, an unreachable store is store_unavailable") {
+  auto store = fake_store{};
   store.steps_ = {{410, "{}"}, {503, "{}"}};
   REQUIRE(failure(store.run(store.client_->changes("t", 5, 50))).code_ == error_code::store_conflict);
   REQUIRE(failure(store.run(store.client_->changes("t", 5, 50))).code_ == error_code::store_unavailable);
