--- a/birchlever/storage/answer_times.h
+++ b/birchlever/storage/adaptive_timeouts.h
@@ -13,38 +13,40 @@
 namespace birchlever {
 
 /// Timeout limits, in ms.
-struct answer_time_settings {
-  milliseconds shortest_ = 150;  ///< Lower bound of the first timeout of a call.
-  milliseconds longest_ = 1500;  ///< Upper bound; the store rejects calls that would queue longer.
-  int quick_tries_ = 2;          ///< Attempts with a doubling timeout; later ones use `longest_`.
-  bool remembers_ = true;        ///< Slow partitions keep a longer initial timeout across calls.
+struct adaptive_timeout_settings {
+  milliseconds min_ = 150;      ///< Lower bound of the first timeout of a call.
+  milliseconds max_ = 1500;     ///< Upper bound; the store rejects calls that would queue longer.
+  int quick_attempts_ = 2;      ///< Attempts with a doubling timeout; later ones use `max_`.
+  bool remembers_slow_ = true;  ///< Slow partitions keep a longer initial timeout across calls.
 };
 
 /// Computes timeouts from recorded response times. Not thread safe.
-class answer_times {
+class adaptive_timeouts {
  public:
-  explicit answer_times(const answer_time_settings& settings = {}) : settings_{settings} {}
+  explicit adaptive_timeouts(const adaptive_timeout_settings& settings = {}) : settings_{settings} {}
 
   /// Returns the timeout of the next attempt in ms, after `attempts` earlier attempts of the same call.
-  [[nodiscard]] auto limit(const std::string& partition, int attempts) const -> milliseconds;
+  [[nodiscard]] auto timeout_for(const std::string& partition, int attempts) const -> milliseconds;
 
   /// Records a response that took `took` ms.
-  auto note_answer(const std::string& partition, milliseconds took) -> void;
+  auto record_response(const std::string& partition, milliseconds took) -> void;
 
   /// Returns true if the partition currently has an extended timeout.
-  [[nodiscard]] auto slow(const std::string& partition) const -> bool { return slow_.count(partition) != 0; }
+  [[nodiscard]] auto is_slow(const std::string& partition) const -> bool {
+    return slow_.count(partition) != 0;
+  }
 
   /// Records that no response arrived within `limit` ms.
-  auto note_silence(const std::string& partition, milliseconds limit) -> void;
+  auto record_timeout(const std::string& partition, milliseconds limit) -> void;
 
   /// Returns the exponential moving average of response times in ms.
-  [[nodiscard]] auto usual_ms() const -> double { return usual_ms_; }
+  [[nodiscard]] auto mean_ms() const -> double { return mean_ms_; }
 
  private:
   [[nodiscard]] auto initial_timeout() const -> milliseconds;
 
-  answer_time_settings settings_;
-  double usual_ms_ = 20;
+  adaptive_timeout_settings settings_;
+  double mean_ms_ = 20;
   std::map<std::string, milliseconds> slow_;  ///< Last response time or timeout of slow partitions.
 };
 
--- a/fleet_model/hot_part.cpp
+++ b/fleet_model/hot_part.cpp
@@ -41,7 +41,7 @@
     auto seconds = static_cast<std::size_t>(settings.duration_ms_ / ms_per_second) + 1;
     outcome_.wanted_.resize(seconds);
     outcome_.made_.resize(seconds);
-    daemons_.assign(static_cast<std::size_t>(settings.daemons_), answer_times{settings.answers_});
+    daemons_.assign(static_cast<std::size_t>(settings.daemons_), adaptive_timeouts{settings.answers_});
   }
 
   auto run() -> hot_part_outcome {
@@ -105,7 +105,7 @@
       give_up(wanted);
       return;
     }
-    auto limit = std::min<double>(daemons_[wanted->daemon_].limit(part_name, wanted->tries_), left);
+    auto limit = std::min<double>(daemons_[wanted->daemon_].timeout_for(part_name, wanted->tries_), left);
     auto call = ++wanted->call_;
     ++wanted->tries_;
     ++outcome_.sent_;
@@ -138,7 +138,7 @@
       return;
     }
     wanted->made_ = true;
-    daemons_[wanted->daemon_].note_answer(part_name, static_cast<milliseconds>(took_ms));
+    daemons_[wanted->daemon_].record_response(part_name, static_cast<milliseconds>(took_ms));
     outcome_.made_[wanted->second_] += !wanted->hot_ && wanted->caller_tries_ == 1 ? 1 : 0;
   }
 
@@ -146,7 +146,7 @@
     if (wanted->made_ || wanted->call_ != call) {
       return;
     }
-    daemons_[wanted->daemon_].note_answer(part_name, static_cast<milliseconds>(took_ms));
+    daemons_[wanted->daemon_].record_response(part_name, static_cast<milliseconds>(took_ms));
     ++wanted->call_;
     wanted->tries_ = 0;
     wanted->version_ = told;
@@ -163,7 +163,7 @@
     if (wanted->made_ || wanted->call_ != call) {
       return;
     }
-    daemons_[wanted->daemon_].note_silence(part_name, static_cast<milliseconds>(limit_ms));
+    daemons_[wanted->daemon_].record_timeout(part_name, static_cast<milliseconds>(limit_ms));
     send(wanted);
   }
 
@@ -176,7 +176,7 @@
   hot_part_settings settings_;
   event_queue events_;
   std::mt19937_64 random_;
-  std::vector<answer_times> daemons_;
+  std::vector<adaptive_timeouts> daemons_;
   double free_at_ms_ = 0;
   std::int64_t version_ = 0;
   hot_part_outcome outcome_;
--- a/fleet_model/hot_part.h
+++ b/fleet_model/hot_part.h
@@ -1,13 +1,13 @@
 /// One part of the store under a load that it bears, and in it one program that many daemons change at the
 /// same time: whether the part recovers rests on how they repeat what is not answered and what lost against
-/// another change. They decide with the product's own answer_times and longest_conflict_pause.
+/// another change. They decide with the product's own adaptive_timeouts and longest_conflict_pause.
 #pragma once
 
 #include <cstdint>
 #include <vector>
 
 #include "birchlever/coordination/conflict_pause.h"
-#include "birchlever/storage/answer_times.h"
+#include "birchlever/storage/adaptive_timeouts.h"
 
 namespace birchlever::model {
 
@@ -27,7 +27,7 @@
                      ///< sub-agents of a program that never stops.
   double burst_patience_ms_ = 60000;  ///< For one of those: what a turn spent is settled in the background.
   double duration_ms_ = 30000;
-  answer_time_settings answers_;
+  adaptive_timeout_settings answers_;
   conflict_pause_settings conflicts_;
   std::uint64_t seed_ = 1;
 };
--- a/unit_tests/fleet_model/hot_part_test.cpp
+++ b/unit_tests/fleet_model/hot_part_test.cpp
@@ -20,34 +20,34 @@
   auto settings = hot_part_settings{};
   settings.burst_ = 50;
   settings.conflicts_.free_conflicts_ = 1000000;
-  settings.answers_.quick_tries_ = 4;  // 150, 300, 600, 1,200 ms.
-  settings.answers_.remembers_ = false;
+  settings.answers_.quick_attempts_ = 4;  // 150, 300, 600, 1,200 ms.
+  settings.answers_.remembers_slow_ = false;
   auto outcome = play_hot_part(settings);
   CHECK(outcome.made_between(0, 2) == 1.0);
   CHECK(outcome.made_between(5, 20) <= 0.75);
 }
 
 TEST_CASE("a place that was silent gets more time, until it answers quickly again") {
-  auto times = answer_times{};
-  CHECK(times.limit("p", 0) == 150);
-  CHECK(times.limit("p", 1) == 300);
-  CHECK(times.limit("p", 2) == 1500);
-  times.note_silence("p", 150);
-  CHECK(times.limit("p", 0) == 300);
-  CHECK(times.limit("other", 0) == 150);
-  times.note_answer("p", 900);
-  CHECK(times.limit("p", 0) == 1500);
-  times.note_answer("p", 12);
-  CHECK(times.limit("p", 0) < 600);
+  auto times = adaptive_timeouts{};
+  CHECK(times.timeout_for("p", 0) == 150);
+  CHECK(times.timeout_for("p", 1) == 300);
+  CHECK(times.timeout_for("p", 2) == 1500);
+  times.record_timeout("p", 150);
+  CHECK(times.timeout_for("p", 0) == 300);
+  CHECK(times.timeout_for("other", 0) == 150);
+  times.record_response("p", 900);
+  CHECK(times.timeout_for("p", 0) == 1500);
+  times.record_response("p", 12);
+  CHECK(times.timeout_for("p", 0) < 600);
 }
 
 TEST_CASE("a store that is slow as a whole gets more time everywhere") {
-  auto times = answer_times{};
+  auto times = adaptive_timeouts{};
   for (auto answers = 0; answers < 60; ++answers) {
-    times.note_answer("p", 240);
+    times.record_response("p", 240);
   }
-  CHECK(times.limit("other", 0) >= 1000);
-  CHECK(times.limit("other", 0) <= 1500);
+  CHECK(times.timeout_for("other", 0) >= 1000);
+  CHECK(times.timeout_for("other", 0) <= 1500);
 }
 
 }  // namespace birchlever::model
