--- a/birchlever/coordination/program_store.cpp
+++ b/birchlever/coordination/program_store.cpp
@@ -18,11 +18,11 @@
 constexpr auto least_backlog_retry = milliseconds{500};  // A writer that was too late once would be so again.
 
 /// What a program has begun is carried to its end before others begin.
-auto rank_of(const turn_order& order) -> write_rank {
+auto rank_of(const turn_order& order) -> write_priority {
   if (order.late_) {
-    return write_rank::late_program;
+    return write_priority::overdue_program;
   }
-  return order.previous_.empty() ? write_rank::begins_program : write_rank::continues_program;
+  return order.previous_.empty() ? write_priority::starts_program : write_priority::continues_program;
 }
 
 auto part_of(const std::string& program, int parts) -> std::string {
--- a/birchlever/coordination/program_store_state.h
+++ b/birchlever/coordination/program_store_state.h
@@ -37,18 +37,18 @@
   [[nodiscard]] auto begins_turn() const -> bool { return kind_ == kind::reserve || kind_ == kind::draw; }
 
   /// How urgent its write is.
-  [[nodiscard]] auto rank() const -> write_rank {
+  [[nodiscard]] auto rank() const -> write_priority {
     if (kind_ == kind::settle && whole_) {
-      return write_rank::ends_turn;
+      return write_priority::ends_turn;
     }
     if (begins_turn()) {
       return begin_rank_;
     }
-    return write_rank::cleans_up;
+    return write_priority::cleanup;
   }
 
   kind kind_ = kind::reserve;
-  write_rank begin_rank_ = write_rank::continues_program;  ///< Of a turn that wants to begin.
+  write_priority begin_rank_ = write_priority::continues_program;  ///< Of a turn that wants to begin.
   std::string turn_;
   std::string turn_key_;  ///< As it stands in keys; of a settled turn.
   std::string reservation_;
--- a/birchlever/coordination/program_store_write.cpp
+++ b/birchlever/coordination/program_store_write.cpp
@@ -200,7 +200,7 @@
       continue;
     }
     planned.writes_ = true;
-    planned.transaction_.rank_ = std::min(planned.transaction_.rank_, wanted->rank());
+    planned.transaction_.priority_ = std::min(planned.transaction_.priority_, wanted->rank());
     if (wanted->whole_) {
       add_turn_rows(program, *wanted, planned.transaction_);
     }
--- a/birchlever/storage/row_store_interface.h
+++ b/birchlever/storage/row_store_interface.h
@@ -34,17 +34,17 @@
 };
 
 /// Priority of a write by its purpose, highest first.
-enum class write_rank { ends_turn, continues_program, begins_program, late_program, cleans_up };
+enum class write_priority { ends_turn, continues_program, starts_program, overdue_program, cleanup };
 
 /// Number of write priorities.
-inline constexpr auto write_ranks = std::size_t{5};
+inline constexpr auto write_priority_count = std::size_t{5};
 
 /// An atomic, conditional change of rows of one partition.
 struct row_transaction {
   std::vector<version_condition> conditions_;
   std::vector<stored_row> puts_;  ///< Versions are ignored.
   std::vector<row_key> removals_;
-  write_rank rank_ = write_rank::cleans_up;
+  write_priority priority_ = write_priority::cleanup;
 };
 
 /// The outcome of a transaction that the store processed.
@@ -86,7 +86,9 @@
   virtual auto wait_until_reachable(milliseconds limit) -> task<bool> = 0;
 
   /// Returns how long in ms a write of this priority would wait for the shared rate limit before it is sent.
-  [[nodiscard]] virtual auto expected_write_wait(write_rank /*rank*/) const -> milliseconds { return 0; }
+  [[nodiscard]] virtual auto expected_write_wait(write_priority /*priority*/) const -> milliseconds {
+    return 0;
+  }
 
   /// Applies a transaction within `time_left` ms.
   virtual auto commit(row_transaction transaction, milliseconds time_left)
--- a/birchlever/storage/write_gate.cpp
+++ b/birchlever/storage/write_gate.cpp
@@ -19,38 +19,38 @@
 };
 
 auto write_gate::waiting() const -> std::size_t {
-  return ahead_of(write_rank::cleans_up);
+  return ahead_of(write_priority::cleanup);
 }
 
-auto write_gate::ahead_of(write_rank rank) const -> std::size_t {
+auto write_gate::ahead_of(write_priority priority) const -> std::size_t {
   auto ahead = std::size_t{0};
-  for (auto index = std::size_t{0}; index <= static_cast<std::size_t>(rank); ++index) {
+  for (auto index = std::size_t{0}; index <= static_cast<std::size_t>(priority); ++index) {
     ahead += queues_.at(index).size();
   }
   return ahead;
 }
 
-auto write_gate::expected_wait(write_rank rank) const -> milliseconds {
+auto write_gate::expected_wait(write_priority priority) const -> milliseconds {
   auto now = clock_.now();
   auto allowed = pace_.rate(now);
   if (!allowed) {
     return 0;
   }
-  auto queued = static_cast<double>(ahead_of(rank)) / *allowed * ms_per_second;
+  auto queued = static_cast<double>(ahead_of(priority)) / *allowed * ms_per_second;
   return pace_.wait(now) + static_cast<milliseconds>(queued);
 }
 
-auto write_gate::enter(write_rank rank, milliseconds limit) -> task<bool> {
+auto write_gate::enter(write_priority priority, milliseconds limit) -> task<bool> {
   auto now = clock_.now();
-  if (ahead_of(rank) == 0 && pace_.wait(now) == 0) {
+  if (ahead_of(priority) == 0 && pace_.wait(now) == 0) {
     pace_.note_sent(now);
     co_return true;
   }
-  if (expected_wait(rank) > limit) {
+  if (expected_wait(priority) > limit) {
     co_return false;
   }
   auto entry = std::make_shared<waiter>(*loop_);
-  auto& queue = queues_.at(static_cast<std::size_t>(rank));
+  auto& queue = queues_.at(static_cast<std::size_t>(priority));
   auto position = queue.insert(queue.end(), entry);
   if (!std::exchange(admitting_, true)) {
     start(*loop_, "admit_waiters", admit_waiters());
--- a/birchlever/storage/write_gate.h
+++ b/birchlever/storage/write_gate.h
@@ -21,10 +21,10 @@
 
   /// Waits up to `limit` ms until a write may be sent. Returns false on timeout, and immediately if the
   /// expected wait exceeds the limit.
-  auto enter(write_rank rank, milliseconds limit) -> task<bool>;
+  auto enter(write_priority priority, milliseconds limit) -> task<bool>;
 
   /// Returns how long in ms a write of this priority would currently wait.
-  [[nodiscard]] auto expected_wait(write_rank rank) const -> milliseconds;
+  [[nodiscard]] auto expected_wait(write_priority priority) const -> milliseconds;
 
   /// Records that the store refused a write because of its rate limit.
   auto note_refused() -> void { pace_.note_refused(clock_.now()); }
@@ -40,12 +40,12 @@
   using waiter_pointer = std::shared_ptr<waiter>;
 
   auto admit_waiters() -> task<>;
-  [[nodiscard]] auto ahead_of(write_rank rank) const -> std::size_t;
+  [[nodiscard]] auto ahead_of(write_priority priority) const -> std::size_t;
 
   event_loop* loop_;
   steady_clock clock_;
   call_pace pace_;
-  std::array<std::list<waiter_pointer>, write_ranks> queues_;  ///< By priority, each in FIFO order.
+  std::array<std::list<waiter_pointer>, write_priority_count> queues_;  ///< By priority, each in FIFO order.
   bool admitting_ = false;
 };
 
--- a/unit_tests/storage/call_pace_test.cpp
+++ b/unit_tests/storage/call_pace_test.cpp
@@ -116,25 +116,25 @@
   auto loop = event_loop{1};
   auto gate = write_gate{loop};
   gate.set_fleet(20, 1);
-  auto order = std::vector<write_rank>{};
-  auto enter_gate = [&](write_rank rank) -> task<> {
-    auto admitted = co_await gate.enter(rank, 3000);
+  auto order = std::vector<write_priority>{};
+  auto enter_gate = [&](write_priority priority) -> task<> {
+    auto admitted = co_await gate.enter(priority, 3000);
     if (admitted) {
-      order.push_back(rank);
+      order.push_back(priority);
     }
   };
-  auto enter = [&](write_rank rank) { start(loop, "enter_gate", enter_gate(rank)); };
+  auto enter = [&](write_priority priority) { start(loop, "enter_gate", enter_gate(priority)); };
   gate.note_refused();
-  enter(write_rank::begins_program);
-  enter(write_rank::cleans_up);
-  enter(write_rank::continues_program);
-  enter(write_rank::ends_turn);
-  enter(write_rank::ends_turn);
+  enter(write_priority::starts_program);
+  enter(write_priority::cleanup);
+  enter(write_priority::continues_program);
+  enter(write_priority::ends_turn);
+  enter(write_priority::ends_turn);
   REQUIRE(run_loop_until(
       loop, [&] { return order.size() == 5; }, 4000));
-  CHECK(order == std::vector<write_rank>{write_rank::ends_turn, write_rank::ends_turn,
-                                         write_rank::continues_program, write_rank::begins_program,
-                                         write_rank::cleans_up});
+  CHECK(order == std::vector<write_priority>{write_priority::ends_turn, write_priority::ends_turn,
+                                             write_priority::continues_program,
+                                             write_priority::starts_program, write_priority::cleanup});
 }
 
 TEST_CASE("a write whose expected wait exceeds its limit is rejected immediately") {
@@ -144,15 +144,15 @@
   gate.note_refused();
   auto results = std::vector<bool>{};
   auto enter_gate = [&](milliseconds limit) -> task<> {
-    auto admitted = co_await gate.enter(write_rank::begins_program, limit);
+    auto admitted = co_await gate.enter(write_priority::starts_program, limit);
     results.push_back(admitted);
   };
   for (auto number = 0; number < 10; ++number) {
     start(loop, "enter_gate", enter_gate(5000));
   }
   run_loop_for(loop, 10);
-  CHECK(gate.expected_wait(write_rank::begins_program) > 300);
-  CHECK(gate.expected_wait(write_rank::ends_turn) < gate.expected_wait(write_rank::begins_program));
+  CHECK(gate.expected_wait(write_priority::starts_program) > 300);
+  CHECK(gate.expected_wait(write_priority::ends_turn) < gate.expected_wait(write_priority::starts_program));
   start(loop, "enter_gate", enter_gate(100));
   REQUIRE(run_loop_until(
       loop, [&] { return !results.empty(); }, 200));
