--- a/birchlever/storage/call_pace.cpp
+++ b/birchlever/storage/call_pace.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-auto call_pace::set_fleet(double per_s, std::int64_t daemons) -> void {
+auto call_pace::set_fleet_capacity(double per_s, std::int64_t daemons) -> void {
   auto fleet = static_cast<double>(std::max<std::int64_t>(daemons, 1));
   share_ = per_s > 0 ? settings_.fleet_fraction_ * per_s / fleet : default_share;
 }
@@ -49,14 +49,14 @@
   return sent_per_s_ * std::exp(-static_cast<double>(now - sent_at_) / decay_ms);
 }
 
-auto call_pace::note_sent(milliseconds now) -> void {
+auto call_pace::record_sent(milliseconds now) -> void {
   tokens_ = tokens(now) - 1;
   tokens_at_ = now;
   sent_per_s_ = sending_rate(now) + ms_per_second / decay_ms;
   sent_at_ = now;
 }
 
-auto call_pace::note_refused(milliseconds now) -> void {
+auto call_pace::record_refused(milliseconds now) -> void {
   auto counted = !limited_ || now - rate_at_ >= settings_.refusal_window_;
   auto before = rate(now);
   refused_at_ = now;
--- a/birchlever/storage/call_pace.h
+++ b/birchlever/storage/call_pace.h
@@ -26,19 +26,21 @@
 /// Deterministic in the recorded calls, refusals and times. Not thread safe.
 class call_pace {
  public:
-  explicit call_pace(const call_pace_settings& settings = {}) : settings_{settings} { set_fleet(0, 1); }
+  explicit call_pace(const call_pace_settings& settings = {}) : settings_{settings} {
+    set_fleet_capacity(0, 1);
+  }
 
   /// Sets the store's total rate in calls per second (0 if unknown) and the number of daemons sharing it.
-  auto set_fleet(double per_s, std::int64_t daemons) -> void;
+  auto set_fleet_capacity(double per_s, std::int64_t daemons) -> void;
 
   /// Returns the time in ms until the next call may be sent; 0 if it may be sent now.
   [[nodiscard]] auto wait(milliseconds now) const -> milliseconds;
 
   /// Records that a call is sent.
-  auto note_sent(milliseconds now) -> void;
+  auto record_sent(milliseconds now) -> void;
 
   /// Records that the store refused a call because of its rate limit.
-  auto note_refused(milliseconds now) -> void;
+  auto record_refused(milliseconds now) -> void;
 
   /// Returns the allowed rate in calls per second, or nothing while calls are unlimited.
   [[nodiscard]] auto rate(milliseconds now) const -> std::optional<double>;
--- a/birchlever/storage/write_gate.cpp
+++ b/birchlever/storage/write_gate.cpp
@@ -43,7 +43,7 @@
 auto write_gate::enter(write_priority priority, milliseconds limit) -> task<bool> {
   auto now = clock_.now();
   if (ahead_of(priority) == 0 && pace_.wait(now) == 0) {
-    pace_.note_sent(now);
+    pace_.record_sent(now);
     co_return true;
   }
   if (expected_wait(priority) > limit) {
@@ -73,7 +73,7 @@
         std::find_if(queues_.begin(), queues_.end(), [](const auto& queued) { return !queued.empty(); });
     auto next = queue->front();
     queue->pop_front();
-    pace_.note_sent(clock_.now());
+    pace_.record_sent(clock_.now());
     next->admitted_ = true;
     next->changed_.notify();
   }
--- a/birchlever/storage/write_gate.h
+++ b/birchlever/storage/write_gate.h
@@ -27,10 +27,12 @@
   [[nodiscard]] auto expected_wait(write_priority priority) const -> milliseconds;
 
   /// Records that the store refused a write because of its rate limit.
-  auto note_refused() -> void { pace_.note_refused(clock_.now()); }
+  auto record_refused() -> void { pace_.record_refused(clock_.now()); }
 
   /// Sets the store's total rate in writes per second and the number of daemons sharing it.
-  auto set_fleet(double per_s, std::int64_t daemons) -> void { pace_.set_fleet(per_s, daemons); }
+  auto set_fleet_capacity(double per_s, std::int64_t daemons) -> void {
+    pace_.set_fleet_capacity(per_s, daemons);
+  }
 
   /// Returns the number of queued writes.
   [[nodiscard]] auto waiting() const -> std::size_t;
--- a/birchlever_daemon/gateway_daemon_peers.cpp
+++ b/birchlever_daemon/gateway_daemon_peers.cpp
@@ -178,7 +178,7 @@
     context_->upstreams_->find_stalled();
     context_->daemons_ =
         peers_->list_known() ? static_cast<std::int64_t>(peers_->listed_peers()) + 1 : unknown_fleet;
-    store_->set_fleet(settings_.store_writes_per_s_, context_->daemons_);
+    store_->set_fleet_capacity(settings_.store_writes_per_s_, context_->daemons_);
     context_->upstreams_->set_running_elsewhere(peers_->views().running_elsewhere());
   }
 }
--- a/unit_tests/storage/call_pace_test.cpp
+++ b/unit_tests/storage/call_pace_test.cpp
@@ -36,7 +36,7 @@
       : paces_(static_cast<std::size_t>(daemons)), backlog_(paces_.size()) {
     store_.per_s_ = per_s;
     for (auto& pace : paces_) {
-      pace.set_fleet(store_.per_s_, daemons);
+      pace.set_fleet_capacity(store_.per_s_, daemons);
     }
   }
 
@@ -52,11 +52,11 @@
       for (auto offset = std::size_t{0}; offset < paces_.size(); ++offset) {
         auto index = (first + offset) % paces_.size();
         if (backlog_[index] > 0 && paces_[index].wait(now_) == 0) {
-          paces_[index].note_sent(now_);
+          paces_[index].record_sent(now_);
           if (store_.write(now_)) {
             --backlog_[index];
           } else {
-            paces_[index].note_refused(now_);
+            paces_[index].record_refused(now_);
           }
         }
       }
@@ -98,12 +98,12 @@
 
 TEST_CASE("the rate is unlimited until a refusal, and again after a period without refusals") {
   auto pace = call_pace{};
-  pace.set_fleet(1500, 76);
+  pace.set_fleet_capacity(1500, 76);
   for (auto now = milliseconds{1000}; now < 2000; ++now) {
     REQUIRE(pace.wait(now) == 0);
-    pace.note_sent(now);
+    pace.record_sent(now);
   }
-  pace.note_refused(2000);
+  pace.record_refused(2000);
   CHECK(pace.wait(2000) > 0);
   CHECK(*pace.rate(2000) < 1000);
   CHECK(*pace.rate(2000) >= 0.8 * 1500 / 76);  // An equal share is always allowed.
@@ -115,7 +115,7 @@
 TEST_CASE("queued writes are admitted by priority: turn ends, running programs, new programs, cleanup") {
   auto loop = event_loop{1};
   auto gate = write_gate{loop};
-  gate.set_fleet(20, 1);
+  gate.set_fleet_capacity(20, 1);
   auto order = std::vector<write_priority>{};
   auto enter_gate = [&](write_priority priority) -> task<> {
     auto admitted = co_await gate.enter(priority, 3000);
@@ -124,7 +124,7 @@
     }
   };
   auto enter = [&](write_priority priority) { start(loop, "enter_gate", enter_gate(priority)); };
-  gate.note_refused();
+  gate.record_refused();
   enter(write_priority::starts_program);
   enter(write_priority::cleanup);
   enter(write_priority::continues_program);
@@ -140,8 +140,8 @@
 TEST_CASE("a write whose expected wait exceeds its limit is rejected immediately") {
   auto loop = event_loop{1};
   auto gate = write_gate{loop};
-  gate.set_fleet(20, 1);
-  gate.note_refused();
+  gate.set_fleet_capacity(20, 1);
+  gate.record_refused();
   auto results = std::vector<bool>{};
   auto enter_gate = [&](milliseconds limit) -> task<> {
     auto admitted = co_await gate.enter(write_priority::starts_program, limit);
