--- a/birchlever/coordination/allowance_ranges.cpp
+++ b/birchlever/coordination/allowance_ranges.cpp
@@ -162,10 +162,10 @@
     auto found = present.find(key_of(number));
     const auto* known = found == present.end() ? nullptr : &found->second.first;
     auto version = found == present.end() ? 0 : found->second.second;
-    if (!wants(number, known, value(page).store_now_)) {
+    if (!wants(number, known, value(page).store_time_)) {
       continue;
     }
-    auto answered = co_await take(number, known, version, asked_at, value(page).store_now_);
+    auto answered = co_await take(number, known, version, asked_at, value(page).store_time_);
     if (!answered || released_) {
       co_return answered;
     }
--- a/birchlever/coordination/program_store_read.cpp
+++ b/birchlever/coordination/program_store_read.cpp
@@ -96,7 +96,7 @@
   if (!ok(page)) {
     co_return failure(page);
   }
-  note_store_clock(value(page).store_now_, asked_at);
+  note_store_clock(value(page).store_time_, asked_at);
   // A transaction under way may have moved the budget on since; its condition then tells.
   program->version_ = version_absent;
   program->record_ = program_record{};
--- a/birchlever/coordination/program_store_write.cpp
+++ b/birchlever/coordination/program_store_write.cpp
@@ -297,7 +297,7 @@
       co_return failure(committed);
     }
     const auto& outcome = value(committed);
-    note_store_clock(outcome.store_now_, asked_at);
+    note_store_clock(outcome.store_time_, asked_at);
     program->record_at_ = asked_at;
     if (outcome.committed_) {
       program->record_ = planned.record_;
--- a/birchlever/storage/memory_row_store.cpp
+++ b/birchlever/storage/memory_row_store.cpp
@@ -6,7 +6,7 @@
 constexpr auto retry_later_ms = milliseconds{500};
 
 auto row_id_of(const row_key& key) -> std::tuple<std::string, std::string, std::string> {
-  return {key.table_, key.part_, key.key_};
+  return {key.table_, key.partition_, key.key_};
 }
 
 auto unavailable() -> error {
@@ -94,10 +94,11 @@
   }
   auto page = row_page{};
   page.version_ = version_;
-  page.store_now_ = clock_.now();
-  for (auto next = rows_.lower_bound({range.table_, range.part_, range.from_}); next != rows_.end(); ++next) {
+  page.store_time_ = clock_.now();
+  for (auto next = rows_.lower_bound({range.table_, range.partition_, range.from_}); next != rows_.end();
+       ++next) {
     const auto& key = next->second.key_;
-    auto in_range = key.table_ == range.table_ && key.part_ == range.part_ &&
+    auto in_range = key.table_ == range.table_ && key.partition_ == range.partition_ &&
                     (range.until_.empty() || key.key_ < range.until_);
     if (!in_range) {
       break;
@@ -125,7 +126,7 @@
   }
   auto page = row_page{};
   page.version_ = std::max(version_, after);
-  page.store_now_ = clock_.now();
+  page.store_time_ = clock_.now();
   for (const auto& row : history_) {
     if (row.version_ > after && row.key_.table_ == table) {
       page.rows_.push_back(row);
@@ -134,7 +135,7 @@
   co_return page;
 }
 
-auto memory_row_store::parts(std::string table, std::string after, milliseconds /*time_left*/)
+auto memory_row_store::partitions(std::string table, std::string after, milliseconds /*time_left*/)
     -> task<result<std::vector<std::string>>> {
   co_await pause_for(*loop_, 0);
   if (faults_.down_) {
@@ -142,9 +143,9 @@
   }
   auto names = std::vector<std::string>{};
   for (const auto& [key, row] : rows_) {
-    auto is_new = names.empty() || names.back() != row.key_.part_;
-    if (row.key_.table_ == table && row.key_.part_ > after && is_new) {
-      names.push_back(row.key_.part_);
+    auto is_new = names.empty() || names.back() != row.key_.partition_;
+    if (row.key_.table_ == table && row.key_.partition_ > after && is_new) {
+      names.push_back(row.key_.partition_);
     }
   }
   co_return names;
--- a/birchlever/storage/memory_row_store.h
+++ b/birchlever/storage/memory_row_store.h
@@ -32,7 +32,7 @@
   auto commit(row_transaction transaction, milliseconds time_left) -> task<result<commit_outcome>> override;
   auto read(row_range range, milliseconds time_left) -> task<result<row_page>> override;
   auto changes(std::string table, std::int64_t after, milliseconds wait) -> task<result<row_page>> override;
-  auto parts(std::string table, std::string after, milliseconds time_left)
+  auto partitions(std::string table, std::string after, milliseconds time_left)
       -> task<result<std::vector<std::string>>> override;
 
   /// Writes a row unconditionally, as another client of the store would.
--- a/birchlever/storage/row_store_interface.cpp
+++ b/birchlever/storage/row_store_interface.cpp
@@ -22,7 +22,7 @@
     }
     auto& read = value(page);
     all.version_ = all.version_ == 0 ? read.version_ : std::min(all.version_, read.version_);
-    all.store_now_ = read.store_now_;
+    all.store_time_ = read.store_time_;
     more = read.more_ && !read.rows_.empty();
     for (auto& row : read.rows_) {
       all.rows_.push_back(std::move(row));
--- a/birchlever/storage/row_store_interface.h
+++ b/birchlever/storage/row_store_interface.h
@@ -14,7 +14,7 @@
 /// Identifies a row. A transaction can change rows of one partition only.
 struct row_key {
   std::string table_;
-  std::string part_;
+  std::string partition_;
   std::string key_;
 };
 
@@ -52,7 +52,7 @@
   bool committed_ = false;
   std::int64_t version_ = 0;           ///< Version of every row that was put.
   std::vector<stored_row> conflicts_;  ///< If not committed, the current rows of the conditions.
-  milliseconds store_now_ = 0;         ///< Time of the store's monotonic clock.
+  milliseconds store_time_ = 0;        ///< Time of the store's monotonic clock.
 };
 
 /// A consistent page of rows.
@@ -60,13 +60,13 @@
   std::vector<stored_row> rows_;
   bool more_ = false;
   std::int64_t version_ = 0;  ///< Newest store version that the page reflects.
-  milliseconds store_now_ = 0;
+  milliseconds store_time_ = 0;
 };
 
 /// A range of keys to read: from `from_`, inclusive, to `until_`, exclusive, or to the end if it is empty.
 struct row_range {
   std::string table_;
-  std::string part_;
+  std::string partition_;
   std::string from_;
   std::string until_;
   int limit_ = 500;
@@ -103,7 +103,7 @@
       -> task<result<row_page>> = 0;
 
   /// Returns up to 1,000 partitions of a table that sort after the given one, in order.
-  virtual auto parts(std::string table, std::string after, milliseconds time_left)
+  virtual auto partitions(std::string table, std::string after, milliseconds time_left)
       -> task<result<std::vector<std::string>>> = 0;
 };
 
--- a/soak/row_store_server.cpp
+++ b/soak/row_store_server.cpp
@@ -50,7 +50,7 @@
   auto list = json::array();
   for (const auto& row : rows) {
     list.push_back({{names::table, row.key_.table_},
-                    {names::part, row.key_.part_},
+                    {names::part, row.key_.partition_},
                     {names::key, row.key_.key_},
                     {names::value, to_base64(row.value_)},
                     {names::version, row.version_},
@@ -128,7 +128,7 @@
     }
     co_return reply_failure(failure(outcome));
   }
-  auto made = json{{names::version, value(outcome).version_}, {names::store_now, value(outcome).store_now_}};
+  auto made = json{{names::version, value(outcome).version_}, {names::store_now, value(outcome).store_time_}};
   if (!value(outcome).committed_) {
     made[names::rows] = rows_of(value(outcome).conflicts_);
   }
@@ -145,7 +145,7 @@
   co_return reply(200, {{names::rows, rows_of(value(page).rows_)},
                         {names::more, value(page).more_},
                         {names::version, value(page).version_},
-                        {names::store_now, value(page).store_now_}});
+                        {names::store_now, value(page).store_time_}});
 }
 
 auto row_store_server::look(std::string query) -> task<http_response> {
@@ -157,7 +157,7 @@
   }
   co_return reply(200, {{names::rows, rows_of(value(page).rows_)},
                         {names::version, value(page).version_},
-                        {names::store_now, value(page).store_now_}});
+                        {names::store_now, value(page).store_time_}});
 }
 
 }  // namespace birchlever::soak
--- a/unit_tests/controllers/peer_feed_test.cpp
+++ b/unit_tests/controllers/peer_feed_test.cpp
@@ -43,9 +43,9 @@
     ++looks_;
     return inner_->changes(std::move(table), after, wait);
   }
-  auto parts(std::string table, std::string after, milliseconds left)
+  auto partitions(std::string table, std::string after, milliseconds left)
       -> task<result<std::vector<std::string>>> override {
-    return inner_->parts(std::move(table), std::move(after), left);
+    return inner_->partitions(std::move(table), std::move(after), left);
   }
 
   int looks_ = 0;
--- a/unit_tests/platform/store_client_test.cpp
+++ b/unit_tests/platform/store_client_test.cpp
@@ -162,7 +162,7 @@
     CHECK(failure(decode_outcome(body, true)).code_ == error_code::store_unknown);
     CHECK(failure(decode_page(body)).code_ == error_code::store_unknown);
   }
-  CHECK(value(decode_outcome(R"({"ver":5,"now_ms":7})", true)).store_now_ == 7);
+  CHECK(value(decode_outcome(R"({"ver":5,"now_ms":7})", true)).store_time_ == 7);
 }
 
 TEST_CASE("calls are relayed through a peer while the store refuses this daemon") {
