--- a/birchlever/core/daemon_settings.cpp
+++ b/birchlever/core/daemon_settings.cpp
@@ -64,7 +64,7 @@
   return known ? nullptr : "is not debug, info, warning or error";
 }
 
-auto check_number(std::vector<setting_fault>& faults, const char* name, std::int64_t value, std::int64_t min,
+auto check_number(std::vector<setting_error>& faults, const char* name, std::int64_t value, std::int64_t min,
                   std::int64_t max, const char* unit) -> void {
   if (value < min || value > max) {
     faults.push_back({name, std::to_string(value),
@@ -72,20 +72,20 @@
   }
 }
 
-auto check_text(std::vector<setting_fault>& faults, const char* name, const std::string& value,
+auto check_text(std::vector<setting_error>& faults, const char* name, const std::string& value,
                 text_check format) -> void {
   if (const auto* fault = format(value)) {
     faults.push_back({name, value, fault});
   }
 }
 
-auto check_secret(std::vector<setting_fault>& faults, const char* name, const std::string& value) -> void {
+auto check_secret(std::vector<setting_error>& faults, const char* name, const std::string& value) -> void {
   if (split_list(value).empty()) {
     faults.push_back({name, "(hidden)", "must contain at least one key"});
   }
 }
 
-auto check_relations(std::vector<setting_fault>& faults, const daemon_settings& settings) -> void {
+auto check_relations(std::vector<setting_error>& faults, const daemon_settings& settings) -> void {
   if (settings.lease_ms_ <= settings.lease_margin_ms_ + settings.lease_renew_ms_) {
     faults.push_back({"lease_ms", std::to_string(settings.lease_ms_),
                       "must exceed the sum of lease_margin_ms and lease_renew_ms"});
@@ -104,8 +104,8 @@
 
 }  // namespace
 
-auto check_settings(const daemon_settings& settings) -> std::vector<setting_fault> {
-  auto faults = std::vector<setting_fault>{};
+auto check_settings(const daemon_settings& settings) -> std::vector<setting_error> {
+  auto faults = std::vector<setting_error>{};
 #define NUMBER_SETTING(name, default_value, min, max, unit, description) \
   check_number(faults, #name, settings.name##_, min, max, unit);
 #define TEXT_SETTING(name, default_value, format, description) \
--- a/birchlever/core/daemon_settings.h
+++ b/birchlever/core/daemon_settings.h
@@ -21,14 +21,14 @@
 };
 
 /// An invalid setting and the reason.
-struct setting_fault {
+struct setting_error {
   std::string name_;
   std::string value_;  ///< Hidden for secrets.
   std::string reason_;
 };
 
 /// Validates all settings and the relations between them. Returns all errors found.
-[[nodiscard]] auto check_settings(const daemon_settings& settings) -> std::vector<setting_fault>;
+[[nodiscard]] auto check_settings(const daemon_settings& settings) -> std::vector<setting_error>;
 
 /// Returns a help text with one line per setting.
 [[nodiscard]] auto describe_settings() -> std::string;
--- a/birchlever/core/hashing.cpp
+++ b/birchlever/core/hashing.cpp
@@ -30,7 +30,7 @@
   return text.data();
 }
 
-auto equal_secrets(std::string_view left, std::string_view right) -> bool {
+auto constant_time_equal(std::string_view left, std::string_view right) -> bool {
   auto difference = left.size() ^ right.size();
   for (auto index = std::size_t{0}; index < left.size() && index < right.size(); ++index) {
     difference |= static_cast<unsigned char>(left[index] ^ right[index]);
--- a/birchlever/core/hashing.h
+++ b/birchlever/core/hashing.h
@@ -22,6 +22,6 @@
 [[nodiscard]] auto random_id() -> std::string;
 
 /// Compares secrets in a time that does not depend on where they differ.
-[[nodiscard]] auto equal_secrets(std::string_view left, std::string_view right) -> bool;
+[[nodiscard]] auto constant_time_equal(std::string_view left, std::string_view right) -> bool;
 
 }  // namespace birchlever
--- a/birchlever/filters/caller_routes.cpp
+++ b/birchlever/filters/caller_routes.cpp
@@ -62,7 +62,7 @@
   auto key = bearer_key(request.get_header_value("Authorization"));
   auto known = false;
   for (const auto& one : split_list(context_->settings_.operator_keys_)) {
-    known = (!key.empty() && equal_secrets(one, key)) || known;
+    known = (!key.empty() && constant_time_equal(one, key)) || known;
   }
   return known;
 }
--- a/birchlever/gateway/gateway_settings.cpp
+++ b/birchlever/gateway/gateway_settings.cpp
@@ -9,7 +9,7 @@
 namespace birchlever {
 namespace {
 
-auto check_address(std::vector<setting_fault>& faults, const char* name, const std::string& text,
+auto check_address(std::vector<setting_error>& faults, const char* name, const std::string& text,
                    bool may_be_empty) -> void {
   if (text.empty() && may_be_empty) {
     return;
@@ -20,7 +20,7 @@
   }
 }
 
-auto check_policy_text(std::vector<setting_fault>& faults, const char* name, const std::string& text)
+auto check_policy_text(std::vector<setting_error>& faults, const char* name, const std::string& text)
     -> void {
   auto parsed = parse_policy(text);
   if (!ok(parsed)) {
@@ -28,19 +28,19 @@
   }
 }
 
-auto check_level(std::vector<setting_fault>& faults, const std::string& level) -> void {
+auto check_level(std::vector<setting_error>& faults, const std::string& level) -> void {
   if (level != "debug" && level != "info" && level != "warning" && level != "error") {
     faults.push_back({"log_level", level, "is not debug, info, warning or error"});
   }
 }
 
-auto check_allotments(std::vector<setting_fault>& faults, const std::string& text) -> void {
+auto check_allotments(std::vector<setting_error>& faults, const std::string& text) -> void {
   if (text != "central" && text != "equal" && text != "off") {
     faults.push_back({"allotments", text, "is not central, equal or off"});
   }
 }
 
-auto check_hall_regions(std::vector<setting_fault>& faults, const std::string& text) -> void {
+auto check_hall_regions(std::vector<setting_error>& faults, const std::string& text) -> void {
   auto parsed = hall_regions::parse(text);
   if (!ok(parsed)) {
     faults.push_back({"hall_regions", text, failure(parsed).detail_});
@@ -48,7 +48,7 @@
 }
 
 template <class Number>
-auto check_range(std::vector<setting_fault>& faults, const char* name, Number given, Number least,
+auto check_range(std::vector<setting_error>& faults, const char* name, Number given, Number least,
                  Number most, const char* unit) -> void {
   if (given >= least && given <= most) {
     return;
@@ -86,8 +86,8 @@
   return settings;
 }
 
-auto check_settings(const gateway_settings& settings) -> std::vector<setting_fault> {
-  auto faults = std::vector<setting_fault>{};
+auto check_settings(const gateway_settings& settings) -> std::vector<setting_error> {
+  auto faults = std::vector<setting_error>{};
   if (settings.data_hall_.empty()) {
     faults.push_back({"data_hall", "", "must be given"});
   }
--- a/birchlever/gateway/gateway_settings.h
+++ b/birchlever/gateway/gateway_settings.h
@@ -26,7 +26,7 @@
 };
 
 /// All faults of the settings at once; none when they are good.
-[[nodiscard]] auto check_settings(const gateway_settings& settings) -> std::vector<setting_fault>;
+[[nodiscard]] auto check_settings(const gateway_settings& settings) -> std::vector<setting_error>;
 
 /// The table of a gateway's settings as text for people, one line each.
 [[nodiscard]] auto describe_gateway_settings() -> std::string;
--- a/birchlever/rpc/peer_server.cpp
+++ b/birchlever/rpc/peer_server.cpp
@@ -132,7 +132,7 @@
   auto welcome(const rpc::envelope& sender) -> bool {
     auto known = false;
     for (const auto& key : keys_) {
-      known = equal_secrets(key, sender.fleet_key) || known;
+      known = constant_time_equal(key, sender.fleet_key) || known;
     }
     if (!known) {
       context_->metrics_->count("peer_refusals_total");
--- a/birchlever_daemon/gateway_daemon.cpp
+++ b/birchlever_daemon/gateway_daemon.cpp
@@ -304,7 +304,7 @@
     return;
   }
   settings_text_ = read_text(settings_file_);
-  auto faults = std::vector<setting_fault>{};
+  auto faults = std::vector<setting_error>{};
   auto fresh = read_gateway_settings(settings_file_, faults);
   auto more = check_settings(fresh);
   faults.insert(faults.end(), more.begin(), more.end());
--- a/birchlever_daemon/gateway_flags.cpp
+++ b/birchlever_daemon/gateway_flags.cpp
@@ -22,7 +22,7 @@
 namespace birchlever {
 namespace {
 
-auto take_file(const std::string& file, std::vector<setting_fault>& faults) -> void {
+auto take_file(const std::string& file, std::vector<setting_error>& faults) -> void {
   auto stream = std::ifstream{file};
   if (!stream) {
     faults.push_back({"settings file", file, "can't be read"});
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-auto take_from_environment(const std::string& name, std::vector<setting_fault>& faults) -> void {
+auto take_from_environment(const std::string& name, std::vector<setting_error>& faults) -> void {
   auto variable = "BIRCHLEVER_" + name;
   for (auto& letter : variable) {
     letter = static_cast<char>(std::toupper(static_cast<unsigned char>(letter)));
@@ -53,7 +53,7 @@
   }
 }
 
-auto read_gateway_settings(const std::string& file, std::vector<setting_fault>& faults) -> gateway_settings {
+auto read_gateway_settings(const std::string& file, std::vector<setting_error>& faults) -> gateway_settings {
   if (!file.empty()) {
     take_file(file, faults);
   }
--- a/birchlever_daemon/main.cpp
+++ b/birchlever_daemon/main.cpp
@@ -57,7 +57,7 @@
          birchlever::describe_gateway_settings();
 }
 
-auto read_settings(std::vector<birchlever::setting_fault>& faults) -> birchlever::daemon_settings {
+auto read_settings(std::vector<birchlever::setting_error>& faults) -> birchlever::daemon_settings {
   auto settings = birchlever::daemon_settings{};
 #define NUMBER_SETTING(name, standard, least, most, unit, purpose) \
   birchlever::take_from_environment(#name, faults);                \
@@ -75,7 +75,7 @@
   return settings;
 }
 
-auto report(const std::vector<birchlever::setting_fault>& faults) -> int {
+auto report(const std::vector<birchlever::setting_error>& faults) -> int {
   for (const auto& fault : faults) {
     std::cerr << "setting " << fault.name_ << " = '" << fault.value_ << "': " << fault.reason_ << '\n';
   }
@@ -89,7 +89,7 @@
   sigaddset(&signals, SIGINT);
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   signal(SIGPIPE, SIG_IGN);
-  auto faults = std::vector<birchlever::setting_fault>{};
+  auto faults = std::vector<birchlever::setting_error>{};
   auto settings = read_settings(faults);
   auto more = birchlever::check_settings(settings);
   faults.insert(faults.end(), more.begin(), more.end());
@@ -115,7 +115,7 @@
 
 auto gateway() -> int {
   signal(SIGPIPE, SIG_IGN);
-  auto faults = std::vector<birchlever::setting_fault>{};
+  auto faults = std::vector<birchlever::setting_error>{};
   auto settings = birchlever::read_gateway_settings(gateway_file(), faults);
   auto more = birchlever::check_settings(settings);
   faults.insert(faults.end(), more.begin(), more.end());
@@ -133,7 +133,7 @@
 }
 
 auto check_gateway_config() -> int {
-  auto faults = std::vector<birchlever::setting_fault>{};
+  auto faults = std::vector<birchlever::setting_error>{};
   auto more = birchlever::check_settings(birchlever::read_gateway_settings(gateway_file(), faults));
   faults.insert(faults.end(), more.begin(), more.end());
   if (!faults.empty()) {
@@ -144,7 +144,7 @@
 }
 
 auto check_config() -> int {
-  auto faults = std::vector<birchlever::setting_fault>{};
+  auto faults = std::vector<birchlever::setting_error>{};
   auto more = birchlever::check_settings(read_settings(faults));
   faults.insert(faults.end(), more.begin(), more.end());
   if (!faults.empty()) {
@@ -155,7 +155,7 @@
 }
 
 auto query(const std::string& text) -> int {
-  auto faults = std::vector<birchlever::setting_fault>{};
+  auto faults = std::vector<birchlever::setting_error>{};
   auto settings = read_settings(faults);
   auto keys = birchlever::split_list(settings.operator_keys_);
   if (keys.empty()) {
--- a/unit_tests/core/core_test.cpp
+++ b/unit_tests/core/core_test.cpp
@@ -63,8 +63,8 @@
     CHECK(count < 1150);
   }
   CHECK(hash_of("x", 1) != hash_of("x", 2));
-  CHECK(equal_secrets("abc", "abc"));
-  CHECK(!equal_secrets("abc", "abcd"));
+  CHECK(constant_time_equal("abc", "abc"));
+  CHECK(!constant_time_equal("abc", "abcd"));
 }
 
 TEST_CASE("the retry budget limits retries to a fraction of first attempts") {
