--- a/birchlever/storage/http_connection_pool.cpp
+++ b/birchlever/storage/http_connection_pool.cpp
@@ -44,7 +44,7 @@
 
 auto http_connection_pool::create(const http_pool_settings& settings, std::string link_name)
     -> result<std::shared_ptr<http_connection_pool>> {
-  if (settings.connect_timeout_ < 1 || settings.answer_timeout_ < 1) {
+  if (settings.connect_timeout_ < 1 || settings.response_timeout_ < 1) {
     return error{error_code::invalid_setting, "HTTP timeouts must be at least 1 ms"};
   }
   return std::shared_ptr<http_connection_pool>{new http_connection_pool{settings, std::move(link_name)}};
@@ -59,7 +59,7 @@
   return link_name_.empty() ? target.text() : link_name_;
 }
 
-auto http_connection_pool::borrow(const endpoint& target) -> result<std::unique_ptr<httplib::Client>> {
+auto http_connection_pool::acquire(const endpoint& target) -> result<std::unique_ptr<httplib::Client>> {
   if (test_switches::instance().link(link_of(target)) == link_state::cut) {
     return error{error_code::upstream_refused, "link to " + target.text() + " is cut by a test switch"};
   }
@@ -74,15 +74,14 @@
   }
   auto client = std::make_unique<httplib::Client>(target.host_, target.port_);
   client->set_connection_timeout(std::chrono::milliseconds{settings_.connect_timeout_});
-  client->set_read_timeout(std::chrono::milliseconds{settings_.answer_timeout_});
-  client->set_write_timeout(std::chrono::milliseconds{settings_.answer_timeout_});
+  client->set_read_timeout(std::chrono::milliseconds{settings_.response_timeout_});
+  client->set_write_timeout(std::chrono::milliseconds{settings_.response_timeout_});
   client->set_keep_alive(true);
   client->set_tcp_nodelay(true);
   return client;
 }
 
-auto http_connection_pool::give_back(const endpoint& target, std::unique_ptr<httplib::Client> client)
-    -> void {
+auto http_connection_pool::release(const endpoint& target, std::unique_ptr<httplib::Client> client) -> void {
   auto lock = std::lock_guard{mutex_};
   auto& idle = idle_[target.text()];
   if (idle.size() < settings_.idle_per_endpoint_) {
@@ -92,8 +91,8 @@
 
 auto http_connection_pool::request(const endpoint& target, const std::string& method, const std::string& path,
                                    const std::string& body, const std::map<std::string, std::string>& headers)
-    -> result<http_answer> {
-  auto borrowed = borrow(target);
+    -> result<buffered_response> {
+  auto borrowed = acquire(target);
   if (!ok(borrowed)) {
     return failure(borrowed);
   }
@@ -101,8 +100,8 @@
   auto outcome = send(*client, method, path, body, {headers.begin(), headers.end()});
   auto lost = test_switches::instance().link(link_of(target)) == link_state::answers_lost;
   if (outcome && !lost) {
-    auto response = http_answer{outcome->status, std::move(outcome->body)};
-    give_back(target, std::move(client));
+    auto response = buffered_response{outcome->status, std::move(outcome->body)};
+    release(target, std::move(client));
     return response;
   }
   if (!lost && is_connection_failure(outcome.error())) {
--- a/birchlever/storage/http_connection_pool.h
+++ b/birchlever/storage/http_connection_pool.h
@@ -18,7 +18,7 @@
 namespace birchlever {
 
 /// Status and body of an HTTP response.
-struct http_answer {
+struct buffered_response {
   int status_ = 0;
   std::string body_;
 };
@@ -38,7 +38,7 @@
 /// Settings of a connection pool. Times in ms.
 struct http_pool_settings {
   milliseconds connect_timeout_ = 500;
-  milliseconds answer_timeout_ = 2000;
+  milliseconds response_timeout_ = 2000;
   std::size_t idle_per_endpoint_ = 32;
 };
 
@@ -56,13 +56,13 @@
   /// Sends a request with a JSON body, or none if it is empty, and waits for the complete response.
   auto request(const endpoint& target, const std::string& method, const std::string& path,
                const std::string& body, const std::map<std::string, std::string>& headers = {})
-      -> result<http_answer>;
+      -> result<buffered_response>;
 
   /// Removes an idle connection from the pool, or creates one, for a streamed exchange.
-  auto borrow(const endpoint& target) -> result<std::unique_ptr<httplib::Client>>;
+  auto acquire(const endpoint& target) -> result<std::unique_ptr<httplib::Client>>;
 
   /// Returns a connection to the pool. It must have no response pending.
-  auto give_back(const endpoint& target, std::unique_ptr<httplib::Client> client) -> void;
+  auto release(const endpoint& target, std::unique_ptr<httplib::Client> client) -> void;
 
  private:
   http_connection_pool(const http_pool_settings& settings, std::string link_name);
--- a/birchlever/storage/http_table_store.cpp
+++ b/birchlever/storage/http_table_store.cpp
@@ -51,7 +51,7 @@
     : target_{std::move(target)}, pool_{std::move(pool)} {}
 
 auto http_table_store::exchange(const std::string& method, const std::string& path, const std::string& body,
-                                bool writes) -> result<http_answer> {
+                                bool writes) -> result<buffered_response> {
   auto response = pool_->request(target_, method, path, body);
   if (!ok(response)) {
     auto outcome_unknown = writes && failure(response).ran_ == ran_state::outcome_unknown;
--- a/birchlever/storage/http_table_store.h
+++ b/birchlever/storage/http_table_store.h
@@ -27,7 +27,7 @@
   http_table_store(endpoint target, std::shared_ptr<http_connection_pool> pool);
 
   auto exchange(const std::string& method, const std::string& path, const std::string& body, bool writes)
-      -> result<http_answer>;
+      -> result<buffered_response>;
 
   endpoint target_;
   std::shared_ptr<http_connection_pool> pool_;
--- a/birchlever/upstream/upstream_exchange.cpp
+++ b/birchlever/upstream/upstream_exchange.cpp
@@ -29,7 +29,7 @@
 
 auto upstream_exchange::run(const std::shared_ptr<http_connection_pool>& pool,
                             const upstream_request& request) -> void {
-  auto borrowed = pool->borrow(request.target_);
+  auto borrowed = pool->acquire(request.target_);
   if (!ok(borrowed)) {
     finish(std::make_unique<error>(failure(borrowed)));
     return;
@@ -55,7 +55,7 @@
   auto outcome = client->send(message);
   auto lost = test_switches::instance().link(request.target_.text()) == link_state::answers_lost;
   if (outcome && !lost) {
-    pool->give_back(request.target_, std::move(client));
+    pool->release(request.target_, std::move(client));
     finish(nullptr);
     return;
   }
--- a/birchlever_daemon/daemon.cpp
+++ b/birchlever_daemon/daemon.cpp
@@ -78,7 +78,7 @@
   made->traces_ = std::make_shared<trace_recorder>("birchlever-" + made->daemon_id_);
   made->upstream_pool_ = value(http_connection_pool::create(http_pool_settings{}));
   auto stream = http_pool_settings{};
-  stream.answer_timeout_ = settings.upstream_wait_ms_;
+  stream.response_timeout_ = settings.upstream_wait_ms_;
   made->stream_pool_ = value(http_connection_pool::create(stream));
   return made;
 }
--- a/birchlever_daemon/operator_client.cpp
+++ b/birchlever_daemon/operator_client.cpp
@@ -139,7 +139,7 @@
     return false;
   }
   auto settings = http_pool_settings{};
-  settings.answer_timeout_ = answer_timeout_ms;
+  settings.response_timeout_ = answer_timeout_ms;
   auto pool = http_connection_pool::create(settings);
   auto answer = value(pool)->request(value(target), "POST", "/v1/operate", statement,
                                      {{"Authorization", "Bearer " + key_}});
--- a/scenarios/test_fleet.cpp
+++ b/scenarios/test_fleet.cpp
@@ -101,9 +101,10 @@
   return ok(answer) ? json::parse(value(answer).body_, nullptr, false) : json{};
 }
 
-auto test_fleet::post(const endpoint& target, const std::string& path, const json& body) -> http_answer {
+auto test_fleet::post(const endpoint& target, const std::string& path, const json& body)
+    -> buffered_response {
   auto answer = pool_->request(target, "POST", path, body.dump());
-  return ok(answer) ? value(answer) : http_answer{};
+  return ok(answer) ? value(answer) : buffered_response{};
 }
 
 auto test_fleet::start() -> bool {
@@ -273,10 +274,10 @@
   list({{"id", "engine-" + std::to_string(index)}, {"leaving", true}});
 }
 
-auto test_fleet::operate(int daemon, const std::string& statement) -> http_answer {
+auto test_fleet::operate(int daemon, const std::string& statement) -> buffered_response {
   auto answer = pool_->request(daemon_address(daemon), "POST", "/v1/operate", statement,
                                {{"Authorization", std::string{"Bearer "} + operator_key}});
-  return ok(answer) ? value(answer) : http_answer{};
+  return ok(answer) ? value(answer) : buffered_response{};
 }
 
 }  // namespace birchlever::scenarios
--- a/scenarios/test_fleet.h
+++ b/scenarios/test_fleet.h
@@ -45,7 +45,7 @@
   auto leave_engine(int index) -> void;
 
   /// Runs an operator's statement through a daemon; HTTP status and body.
-  auto operate(int daemon, const std::string& statement) -> http_answer;
+  auto operate(int daemon, const std::string& statement) -> buffered_response;
 
   [[nodiscard]] auto daemon_address(int index) const -> endpoint;
   [[nodiscard]] auto peer_address(int index) const -> std::string;
@@ -57,7 +57,7 @@
 
   /// GET of JSON; null when there is no answer.
   auto get_json(const endpoint& target, const std::string& path) -> nlohmann::json;
-  auto post(const endpoint& target, const std::string& path, const nlohmann::json& body) -> http_answer;
+  auto post(const endpoint& target, const std::string& path, const nlohmann::json& body) -> buffered_response;
 
  private:
   auto spawn(const std::string& name, std::vector<std::string> arguments) -> pid_t;
