--- a/birchlever_daemon/gateway_daemon_pages.cpp
+++ b/birchlever_daemon/gateway_daemon_pages.cpp
@@ -27,7 +27,7 @@
 auto gateway_daemon::ready() const -> bool {
   // Without the store, and without a peer that relays, callers go to others; when all are so, the balancer
   // uses all.
-  auto store_answers = store_->away_for() < unready_after_ms;
+  auto store_answers = store_->unreachable_for() < unready_after_ms;
   return !context_->stopping_ && context_->configuration_ && upstream_follower_->primed() && store_answers;
 }
 
@@ -63,11 +63,11 @@
   counters.gauge("store_calls", static_cast<double>(usage.calls()));
   counters.gauge("store_calls_by_kind{kind=\"transaction\"}", static_cast<double>(usage.transactions_));
   counters.gauge("store_calls_by_kind{kind=\"read\"}", static_cast<double>(usage.reads_));
-  counters.gauge("store_calls_by_kind{kind=\"feed\"}", static_cast<double>(usage.looks_));
+  counters.gauge("store_calls_by_kind{kind=\"feed\"}", static_cast<double>(usage.feed_polls_));
   counters.gauge("store_calls_by_outcome{outcome=\"conflict\"}", static_cast<double>(usage.conflicts_));
   counters.gauge("store_calls_by_outcome{outcome=\"throttled\"}", static_cast<double>(usage.throttled_));
   counters.gauge("store_calls_by_outcome{outcome=\"failed\"}", static_cast<double>(usage.failed_));
-  counters.gauge("store_writes_waiting", static_cast<double>(store_->writes_waiting()));
+  counters.gauge("store_writes_waiting", static_cast<double>(store_->queued_writes()));
   counters.gauge("upstreams_listed", static_cast<double>(context_->upstreams_->size()));
   counters.gauge("upstream_entries_unreadable", static_cast<double>(upstream_follower_->unreadable()));
   counters.gauge("store_reachable", store_->reachable() ? 1 : 0);
@@ -99,7 +99,7 @@
             {{"transactions", usage.transactions_},
              {"conflicts", usage.conflicts_},
              {"reads", usage.reads_},
-             {"feed_looks", usage.looks_},
+             {"feed_looks", usage.feed_polls_},
              {"throttled", usage.throttled_},
              {"failed", usage.failed_},
              {"history_cache_bytes", static_cast<std::int64_t>(context_->programs_->cached_bytes())},
--- a/birchlever_daemon/gateway_daemon_peers.cpp
+++ b/birchlever_daemon/gateway_daemon_peers.cpp
@@ -157,7 +157,7 @@
 auto gateway_daemon::describe_self() const -> peer_state {
   auto state = peer_state{};
   state.vm_ = settings_.vm_id_;
-  state.store_silence_ = store_->silent_for();
+  state.store_silence_ = store_->time_since_response();
   state.configuration_ = context_->configuration_ ? context_->configuration_->version_ : 0;
   state.control_address_ = settings_.control_address_;
   state.allowance_ranges_ = allowances_ ? allowances_->held() : 0;
@@ -190,7 +190,7 @@
     return std::nullopt;
   }
   auto region = regions_.region_of(settings_.data_hall_);
-  const auto* peer = peers_->views().answered_since(store_->lost_at() + peer_clock_margin, region);
+  const auto* peer = peers_->views().answered_since(store_->unreachable_since() + peer_clock_margin, region);
   if (peer == nullptr) {
     return std::nullopt;
   }
--- a/unit_tests/platform/store_client_test.cpp
+++ b/unit_tests/platform/store_client_test.cpp
@@ -32,7 +32,7 @@
     listener_ = value(listening);
     auto settings = store_client_settings{};
     settings.address_ = address_;
-    settings.answers_.min_ = 60;
+    settings.timeouts_.min_ = 60;
     client_ = store_client::create(loop_, settings);
   }
 
