--- a/birchlever_daemon/gateway_daemon.cpp
+++ b/birchlever_daemon/gateway_daemon.cpp
@@ -241,7 +241,7 @@
 auto gateway_daemon::take_closures(const std::vector<stored_row>& rows, bool whole_table) -> void {
   auto closed = whole_table ? std::set<std::string>{} : closed_halls_;
   for (const auto& row : rows) {
-    auto hall = platform::evacuated_hall(row.key_.key_);
+    auto hall = platform::evacuated_data_hall(row.key_.key_);
     if (hall && row.removed_) {
       closed.erase(*hall);
     } else if (hall) {
--- a/performance_test/gateway_test.cpp
+++ b/performance_test/gateway_test.cpp
@@ -133,7 +133,7 @@
       request->set(names::expected_upstream, plan.expected_upstream_);
       request->set(names::account, owner.account_);  // Straight to an upstream, as the gateway would send it.
     } else {
-      request->set(names::key_of_account, owner.key_);
+      request->set(names::account_key, owner.key_);
     }
     request->body() = "input";
     request->prepare_payload();
--- a/soak/soak_caller.cpp
+++ b/soak/soak_caller.cpp
@@ -78,7 +78,7 @@
     co_return heard;
   }
   heard.status_ = static_cast<int>(answer->result_int());
-  heard.proven_ = !field_of(*answer, names::proof).empty();
+  heard.proven_ = !field_of(*answer, names::response_signature).empty();
   while (!heard.whole_ && heard.body_.size() < most_body) {
     auto piece = co_await connection->read_piece();
     auto* got = std::get_if<body_piece>(&piece);
@@ -97,7 +97,7 @@
   auto request = http_request{http::verb::get, path, 11};
   request.set(names::request_id, id);
   auto owner = soak_accounts::of_caller(0);
-  request.set(names::key_of_account, owner.key_);
+  request.set(names::account_key, owner.key_);
   ledger_->sent(id, "", true, owner);
   co_return co_await ask(gateway, std::move(request));
 }
@@ -150,7 +150,7 @@
       request.set(names::previous_turn, line.turn_);
     }
     request.body() = input;
-    request.set(names::key_of_account, line.owner_.key_);
+    request.set(names::account_key, line.owner_.key_);
     ledger_->sent(id, line.chain_ + input, false, line.owner_);
     auto gateway = fleet_->pick_gateway(random_());
     auto heard = co_await ask(gateway, std::move(request));
@@ -179,7 +179,7 @@
     request.set(names::request_id, id);
     request.set(names::program, program);
     request.body() = repeatable ? "" : "do it";
-    request.set(names::key_of_account, owner.key_);
+    request.set(names::account_key, owner.key_);
     ledger_->sent(id, request.body(), repeatable, owner);
     auto gateway = fleet_->pick_gateway(random_());
     auto heard = co_await ask(gateway, std::move(request));
@@ -233,7 +233,7 @@
   request.set(names::session, "s");
   request.set(names::token_usage, "100," + std::to_string(most_tokens));
   request.set(names::previous_turn, line.turn_);
-  request.set(names::key_of_account, stranger.key_);
+  request.set(names::account_key, stranger.key_);
   request.body() = "go on;";
   ledger_->sent(id, "never", false, stranger);
   auto gateway = fleet_->pick_gateway(random_());
@@ -247,7 +247,7 @@
   auto id = new_id("tool");
   auto request = http_request{http::verb::post, "/once/x", 11};
   request.set(names::request_id, id);
-  request.set(names::key_of_account, owner.key_);
+  request.set(names::account_key, owner.key_);
   request.body() = "do it";
   ledger_->sent(id, request.body(), false, owner);
   auto gateway = fleet_->pick_gateway(random_());
@@ -282,7 +282,7 @@
   request.set(names::budget, std::to_string(money.budget_));
   request.set(names::token_usage, "100," + std::to_string(most_tokens));
   request.body() = "whole prompt of " + program;
-  request.set(names::key_of_account, owner.key_);
+  request.set(names::account_key, owner.key_);
   ledger_->sent(id, request.body(), false, owner);
   auto gateway = fleet_->pick_gateway(random_());
   auto heard = co_await ask(gateway, std::move(request));
--- a/soak/upstream_stand_in.cpp
+++ b/soak/upstream_stand_in.cpp
@@ -82,7 +82,7 @@
   auto fault = draw_fault();
   if (expected != identity_.id_ || fault == upstream_fault::refuses) {
     answer.result(expected != identity_.id_ ? 421 : 503);
-    answer.set(names::not_run, "1");
+    answer.set(names::not_executed, "1");
     answer.prepare_payload();
     co_return co_await connection.write(std::move(answer));
   }
@@ -91,10 +91,10 @@
   }
   reached_at_ = clock_.now();
   ledger_->ran(id, request.body(), identity_.id_, std::string{field_of(request, names::account)});
-  if (request.count(names::key_of_account) != 0) {
+  if (request.count(names::account_key) != 0) {
     ledger_->broken(promise::accounts_are_apart, id + " shows its caller's key to " + identity_.id_);
   }
-  answer.set(names::proof, "proof-" + id);
+  answer.set(names::response_signature, "proof-" + id);
   if (identity_.engine_) {
     auto events = std::uniform_int_distribution<int>{1, std::max(1, events_of(request))}(random_);
     if (fault == upstream_fault::loses_answer) {
--- a/unit_tests/platform/decode_test.cpp
+++ b/unit_tests/platform/decode_test.cpp
@@ -179,9 +179,9 @@
 }
 
 TEST_CASE("evacuation rows of the operators' table are recognized by their key") {
-  CHECK(evacuated_hall("evacuate/hall-a") == "hall-a");
-  CHECK_FALSE(evacuated_hall("evacuate/"));
-  CHECK_FALSE(evacuated_hall("config"));
+  CHECK(evacuated_data_hall("evacuate/hall-a") == "hall-a");
+  CHECK_FALSE(evacuated_data_hall("evacuate/"));
+  CHECK_FALSE(evacuated_data_hall("config"));
 }
 
 TEST_CASE("allowed regions and limits of cold upstreams are decoded") {
