--- a/birchlever/storage/http_connection_pool.cpp
+++ b/birchlever/storage/http_connection_pool.cpp
@@ -105,7 +105,7 @@
     return response;
   }
   if (!lost && is_connection_failure(outcome.error())) {
-    return error{error_code::upstream_refused, "failed to connect to " + target.text()};
+    return error{error_code::upstream_refused, "no connection to " + target.text()};
   }
   return error{error_code::upstream_timeout, "no response from " + target.text(), ran_state::outcome_unknown};
 }
--- a/birchlever/storage/write_gate.h
+++ b/birchlever/storage/write_gate.h
@@ -13,7 +13,7 @@
 
 namespace birchlever {
 
-/// For coroutines of one loop.
+/// Serves the coroutines of one event loop. Not thread safe.
 class write_gate {
  public:
   explicit write_gate(event_loop& loop, const call_pace_settings& settings = {})
