--- a/birchlever/accounts/account_usage.h
+++ b/birchlever/accounts/account_usage.h
@@ -1,4 +1,4 @@
-/// What client accounts asked of this daemon and what they got, in a bounded number of metrics.
+/// Request counters per client account, exported as a bounded number of metrics.
 #pragma once
 
 #include <cstdint>
@@ -6,27 +6,29 @@
 #include <string>
 #include <unordered_map>
 
-#include "birchlever/accounts/account_book.h"
+#include "birchlever/accounts/account_registry.h"
 
 namespace birchlever {
 
-/// Counts by account and by how requests ended. Not thread safe: for one loop.
+/// Counts requests by account and HTTP status. Not thread-safe; use from one event loop.
 class account_usage {
  public:
-  /// A request ended with a status; 0 when its caller got none.
-  auto note(const std::string& account, int status) -> void;
+  /// Records a finished request. `status` is 0 if no status was sent to the caller.
+  auto record(const std::string& account, int status) -> void;
 
-  /// Prometheus text: the `most` accounts that asked most, each with its requests by status and the
-  /// beginnings of its keys' digests, and all others in one sum. `book` may be null.
-  [[nodiscard]] auto to_prometheus(const account_book* book, std::size_t most) const -> std::string;
+  /// Returns the counters in Prometheus text format: the `max_accounts` accounts with the most requests, each
+  /// with its requests by status and its abbreviated key digests, and the sum of all others. `registry` may
+  /// be null.
+  [[nodiscard]] auto to_prometheus(const account_registry* registry, std::size_t max_accounts) const
+      -> std::string;
 
  private:
   struct counts {
-    std::int64_t asked_ = 0;
+    std::int64_t requests_ = 0;
     std::map<int, std::int64_t> by_status_;
   };
 
-  static auto add(counts& sum, const counts& one) -> void;
+  static auto add(counts& sum, const counts& added) -> void;
 
   std::unordered_map<std::string, counts> accounts_;
 };
--- a/birchlever/accounts/key_digest.cpp
+++ b/birchlever/accounts/key_digest.cpp
@@ -7,11 +7,11 @@
 namespace birchlever {
 namespace {
 
-constexpr auto shown_letters = std::size_t{8};  // 32 bits: one of 4,800 keys is mistaken once in a million.
+constexpr auto abbreviated_length = std::size_t{8};
 
 }  // namespace
 
-auto sha256_of(std::string_view text) -> std::string {
+auto sha256_hex(std::string_view text) -> std::string {
   auto digest = std::array<unsigned char, EVP_MAX_MD_SIZE>{};
   auto length = 0U;
   EVP_Digest(text.data(), text.size(), digest.data(), &length, EVP_sha256(), nullptr);
@@ -24,8 +24,8 @@
   return hexadecimal;
 }
 
-auto shown_digest(std::string_view digest) -> std::string {
-  return std::string{digest.substr(0, shown_letters)};
+auto abbreviated_digest(std::string_view digest) -> std::string {
+  return std::string{digest.substr(0, abbreviated_length)};
 }
 
 }  // namespace birchlever
--- a/birchlever/coordination/program_ledger.cpp
+++ b/birchlever/coordination/program_ledger.cpp
@@ -11,12 +11,13 @@
   return error{code, std::move(detail), ran_state::not_run, retry_after_ms};
 }
 
-auto call_name(const call_order& order) -> std::string {
+auto call_name(const call_request& order) -> std::string {
   return "call " + std::to_string(order.number_) + " of program " + order.program_;
 }
 
-/// A repeatable call that failed before any upstream confirmed it must be sent again before the next one.
-auto lets_next_pass(const program_call& call) -> bool {
+/// Returns true if the next call may start. A repeatable call that failed before an upstream confirmed it
+/// must be sent again first.
+auto allows_next_call(const program_call& call) -> bool {
   switch (call.phase_) {
     case call_phase::committing:
     case call_phase::dispatched:
@@ -62,13 +63,13 @@
   return found == programs_.end() ? nullptr : &found->second;
 }
 
-auto program_ledger::each(const std::function<void(const program&)>& visit) const -> void {
-  for (const auto& [key, one] : programs_) {
-    visit(one);
+auto program_ledger::for_each(const std::function<void(const program&)>& visit) const -> void {
+  for (const auto& [key, owner] : programs_) {
+    visit(owner);
   }
 }
 
-auto program_ledger::create_program(const call_order& order, const std::string& policy, milliseconds now)
+auto program_ledger::create_program(const call_request& order, const std::string& policy, milliseconds now)
     -> program& {
   auto& created = programs_[key_of(order.account_, order.program_)];
   created.account_ = order.account_;
@@ -77,7 +78,7 @@
   created.ephemeral_ = order.ephemeral_;
   created.budget_ = budget_account{order.budget_ > 0 ? order.budget_ : settings_.default_budget_};
   created.last_active_ = now;
-  created.began_at_ = now;
+  created.started_at_ = now;
   return created;
 }
 
@@ -99,21 +100,22 @@
   if (known != nullptr && known->durable_) {
     return std::vector<journal_record>{};
   }
-  auto order = call_order{account, program};
+  auto order = call_request{account, program};
   order.budget_ = budget;
   auto& owner = known != nullptr ? *known : create_program(order, policy, now);
   return std::vector{opened_record(owner, slice_of(owner))};
 }
 
-auto program_ledger::open(const call_order& order, const std::string& policy, milliseconds now)
+auto program_ledger::open(const call_request& order, const std::string& policy, milliseconds now)
     -> open_decision {
   auto* owner = find(order.account_, order.program_);
   if (owner == nullptr) {
     if (order.number_ != 1) {
-      return refuse(error_code::unknown_program, "no program " + order.program_ + "; it begins with call 1");
+      return refuse(error_code::unknown_program,
+                    "no program " + order.program_ + "; a program starts with call 1");
     }
     owner = &create_program(order, policy, now);
-    auto decision = begin(*owner, order, now);
+    auto decision = start_attempt(*owner, order, now);
     if (std::holds_alternative<error>(decision)) {
       programs_.erase(key_of(order.account_, order.program_));
     }
@@ -126,12 +128,12 @@
   }
   auto known = owner->calls_.find(order.number_);
   if (known != owner->calls_.end()) {
-    return open_again(*owner, known->second, order, now);
+    return reopen(*owner, known->second, order, now);
   }
   return open_next(*owner, order, now);
 }
 
-auto program_ledger::open_again(program& owner, program_call& call, const call_order& order, milliseconds now)
+auto program_ledger::reopen(program& owner, program_call& call, const call_request& order, milliseconds now)
     -> open_decision {
   if (call.digest_ != order.digest_ && call.digest_ != 0) {
     return refuse(error_code::call_mismatch, call_name(order) + " was issued with another request");
@@ -141,19 +143,20 @@
       return open_replay{call.answer_, call.location_};
     case call_phase::unresolved:
       if (!test_switches::instance().mechanism_on("at_most_once")) {
-        return begin(owner, order, now);
+        return start_attempt(owner, order, now);
       }
       if (!order.request_id_.empty() && call.request_id_ == order.request_id_) {
-        return begin(owner, order,
-                     now);  // The asker itself lost the ticket, so the call was surely not sent.
+        return start_attempt(
+            owner, order,
+            now);  // The requester itself lost the ticket, so the call was certainly not sent.
       }
-      call.told_unknown_ = true;
+      call.reported_unknown_ = true;
       return open_resolve{call.upstream_, call.key_};
     case call_phase::failed:
       if (owner.ended_) {
         return refuse(error_code::program_ended, "program ended: " + owner.end_reason_);
       }
-      return begin(owner, order, now);
+      return start_attempt(owner, order, now);
     case call_phase::committing:
     case call_phase::dispatched:
     case call_phase::accepted:
@@ -162,31 +165,33 @@
   return open_wait{true};
 }
 
-auto program_ledger::open_next(program& owner, const call_order& order, milliseconds now) -> open_decision {
+auto program_ledger::open_next(program& owner, const call_request& order, milliseconds now) -> open_decision {
   if (owner.ended_) {
     return refuse(error_code::program_ended, "program ended: " + owner.end_reason_);
   }
   auto highest = owner.highest_call();
   auto ordered = test_switches::instance().mechanism_on("call_order");
   if (highest == 0 && order.number_ != 1) {
-    return ordered ? open_decision{open_wait{}} : begin(owner, order, now);
+    return ordered ? open_decision{open_wait{}} : start_attempt(owner, order, now);
   }
   if (order.number_ < highest) {
-    return begin(owner, order, now);  // A later call was sent, so this one had been accepted; its owner died.
+    return start_attempt(owner, order,
+                         now);  // A later call was sent, so this one had been accepted by a previous owner.
   }
   if (ordered && order.number_ > highest + 1) {
     return open_wait{};
   }
-  if (ordered && highest > 0 && !lets_next_pass(owner.calls_.rbegin()->second)) {
+  if (ordered && highest > 0 && !allows_next_call(owner.calls_.rbegin()->second)) {
     return open_wait{};
   }
   if (order.parent_ != 0 && owner.calls_.count(order.parent_) == 0) {
-    return refuse(error_code::call_mismatch, call_name(order) + " names a parent that was never issued");
+    return refuse(error_code::call_mismatch, call_name(order) + " specifies a parent that was never issued");
   }
-  return begin(owner, order, now);
+  return start_attempt(owner, order, now);
 }
 
-auto program_ledger::limits(const program& owner, const call_order& order) const -> std::optional<error> {
+auto program_ledger::check_limits(const program& owner, const call_request& order) const
+    -> std::optional<error> {
   if (order.number_ > settings_.turn_limit_) {
     return refuse(error_code::program_too_long,
                   "program reached its limit of " + std::to_string(settings_.turn_limit_) + " calls");
@@ -203,7 +208,7 @@
   return std::min(settings_.budget_slice_, owner.budget_.budget() / settings_.slices_per_budget_);
 }
 
-auto program_ledger::cost_of(const program& owner, const call_order& order) const -> std::int64_t {
+auto program_ledger::cost_of(const program& owner, const call_request& order) const -> std::int64_t {
   if (!order.generates_) {
     return 0;
   }
@@ -213,13 +218,14 @@
   return std::clamp<std::int64_t>(owner.budget_.remaining(), 1, settings_.default_max_tokens_);
 }
 
-auto program_ledger::begin(program& owner, const call_order& order, milliseconds now) -> open_decision {
-  auto over = limits(owner, order);
-  if (over) {
-    return *over;
+auto program_ledger::start_attempt(program& owner, const call_request& order, milliseconds now)
+    -> open_decision {
+  auto limit_error = check_limits(owner, order);
+  if (limit_error) {
+    return *limit_error;
   }
   auto cost = cost_of(owner, order);
-  if (!owner.budget_.begin(cost)) {
+  if (!owner.budget_.commit(cost)) {
     return refuse(error_code::budget_exhausted, call_name(order) + " could spend " + std::to_string(cost) +
                                                     " tokens; " + std::to_string(owner.budget_.remaining()) +
                                                     " remain of " + std::to_string(owner.budget_.budget()));
@@ -253,7 +259,7 @@
   return proceed;
 }
 
-auto program_ledger::dispatch(const call_order& order, const std::string& upstream, milliseconds now)
+auto program_ledger::dispatch(const call_request& order, const std::string& upstream, milliseconds now)
     -> std::pair<call_ticket, std::optional<journal_record>> {
   auto& owner = programs_.at(key_of(order.account_, order.program_));
   auto& call = owner.calls_.at(order.number_);
@@ -288,21 +294,22 @@
     return {};
   }
   auto& call = known->second;
-  auto running = attempts_.find(call.sequence_);
-  if (running == attempts_.end() || running->second.settling_) {
+  auto attempt_entry = attempts_.find(call.sequence_);
+  if (attempt_entry == attempts_.end() || attempt_entry->second.settling_) {
     return {};
   }
   auto intent_may_be_durable = !call.repeatable_ && owner->durable_ && call.phase_ != call_phase::committing;
   if (intent_may_be_durable) {
-    running->second.settling_ = true;  // The intent may be durable; the void record settles it.
+    attempt_entry->second.settling_ =
+        true;  // The intent may be durable; the record that voids it settles the attempt.
     auto record = journal_record{record_kind::call_voided, account, program, number};
     record.epoch_ = epoch_;
     record.sequence_ = call.sequence_;
     record.max_tokens_ = call.max_tokens_;
     return {record};
   }
-  owner->budget_.cancel(running->second.cost_);
-  attempts_.erase(running);
+  owner->budget_.cancel(attempt_entry->second.cost_);
+  attempts_.erase(attempt_entry);
   owner->calls_.erase(known);
   if (owner->calls_.empty() && !owner->durable_) {
     programs_.erase(key_of(account, program));
@@ -310,8 +317,8 @@
   return {};
 }
 
-auto program_ledger::accepted(const std::string& account, const std::string& program, std::int32_t number,
-                              std::int64_t sequence) -> bool {
+auto program_ledger::mark_accepted(const std::string& account, const std::string& program,
+                                   std::int32_t number, std::int64_t sequence) -> bool {
   auto* owner = find(account, program);
   if (owner == nullptr) {
     return false;
@@ -343,24 +350,24 @@
 
 auto program_ledger::expire(milliseconds now) -> std::vector<journal_record> {
   auto records = std::vector<journal_record>{};
-  for (auto& [sequence, running] : attempts_) {
-    if (running.settling_ || now < running.expires_at_ + settings_.report_margin_) {
+  for (auto& [sequence, attempt_entry] : attempts_) {
+    if (attempt_entry.settling_ || now < attempt_entry.expires_at_ + settings_.report_margin_) {
       continue;
     }
-    auto& owner = programs_.at(running.program_key_);
-    auto report = call_settlement{owner.account_, owner.id_, running.number_, epoch_, sequence};
-    auto known = owner.calls_.find(running.number_);
+    auto& owner = programs_.at(attempt_entry.program_key_);
+    auto report = call_settlement{owner.account_, owner.id_, attempt_entry.number_, epoch_, sequence};
+    auto known = owner.calls_.find(attempt_entry.number_);
     report.digest_ = known == owner.calls_.end() ? 0 : known->second.digest_;
-    report.max_tokens_ = running.cost_;
-    running.settling_ = true;
-    records.push_back(charged_record(owner, report, running.cost_));
+    report.max_tokens_ = attempt_entry.cost_;
+    attempt_entry.settling_ = true;
+    records.push_back(charged_record(owner, report, attempt_entry.cost_));
   }
-  for (auto& [key, one] : programs_) {
-    auto idle = now - one.last_active_ >= settings_.idle_limit_;
-    auto busy = std::any_of(one.calls_.begin(), one.calls_.end(),
+  for (auto& [key, candidate] : programs_) {
+    auto idle = now - candidate.last_active_ >= settings_.idle_limit_;
+    auto busy = std::any_of(candidate.calls_.begin(), candidate.calls_.end(),
                             [](const auto& entry) { return in_flight(entry.second); });
-    if (!one.ended_ && idle && !busy) {
-      auto record = journal_record{record_kind::program_ended, one.account_, one.id_};
+    if (!candidate.ended_ && idle && !busy) {
+      auto record = journal_record{record_kind::program_ended, candidate.account_, candidate.id_};
       record.reason_ = "idle";
       records.push_back(std::move(record));
     }
@@ -368,15 +375,15 @@
   return records;
 }
 
-auto program_ledger::forget(milliseconds now) -> void {
+auto program_ledger::evict_ended(milliseconds now) -> void {
   for (auto next = programs_.begin(); next != programs_.end();) {
-    auto& one = next->second;
-    auto retention = one.ephemeral_ ? 0 : settings_.ended_retention_;
-    if (!one.ended_ || now - one.last_active_ < retention) {
+    auto& candidate = next->second;
+    auto retention = candidate.ephemeral_ ? 0 : settings_.ended_retention_;
+    if (!candidate.ended_ || now - candidate.last_active_ < retention) {
       ++next;
       continue;
     }
-    for (const auto& [number, call] : one.calls_) {
+    for (const auto& [number, call] : candidate.calls_) {
       attempts_.erase(call.sequence_);
       if (!call.location_.segment_.empty()) {
         --segments_[call.location_.segment_];
--- /dev/null
+++ b/birchlever/gateway/upstream_attempt.h
@@ -0,0 +1,65 @@
+/// One attempt to run a request on one upstream.
+#pragma once
+
+#include <memory>
+#include <optional>
+
+#include "birchlever/gateway/gateway_context.h"
+#include "birchlever/http/event_stream.h"
+#include "birchlever/http/outgoing_connection.h"
+#include "birchlever/upstream/upstream_directory.h"
+
+namespace birchlever {
+
+/// How an attempt ended.
+enum class attempt_outcome {
+  relayed,       ///< The response was relayed completely.
+  not_reached,   ///< No connection; not run.
+  refused_full,  ///< Rejected for lack of capacity; not run.
+  refused,       ///< Rejected for another reason; not run.
+  unknown,       ///< May have run; nothing was sent to the caller.
+  out_of_time,   ///< The deadline passed; may have run.
+  broken_off,    ///< The stream was interrupted after part of it was relayed.
+  caller_gone,   ///< The caller disconnected.
+};
+
+/// Returns the name of an outcome in logs and metrics.
+[[nodiscard]] auto name_of(attempt_outcome outcome) -> std::string_view;
+
+/// Sends a request and relays the response if it comes from the expected upstream. Each object is used once.
+class upstream_attempt {
+ public:
+  /// `sent_at` identifies the request in the upstream directory.
+  upstream_attempt(gateway_context& context, gateway_request& request, upstream& target, milliseconds sent_at)
+      : context_{&context}, request_{&request}, target_{&target}, sent_at_{sent_at} {}
+
+  /// Sends the request and relays the response. Ends at once if the upstream is replaced by a new
+  /// incarnation.
+  auto run() -> task<attempt_outcome>;
+
+ private:
+  /// Connects and sends the request. Yields an outcome if that failed.
+  auto send() -> task<std::optional<attempt_outcome>>;
+  auto relay() -> task<attempt_outcome>;
+  auto build_request() const -> std::shared_ptr<const http_request>;
+  auto classify(exchange_fault fault) const -> attempt_outcome;
+  auto relay_response(http_response head) -> task<attempt_outcome>;
+  auto write_stream_head(http_response head) -> task<bool>;
+  auto relay_stream(http_response head) -> task<attempt_outcome>;
+  auto append_events(std::string_view bytes, std::string& out) -> bool;
+  auto finish_stream() -> task<attempt_outcome>;
+
+  /// Returns true if another event would exceed the tokens granted to a turn, where these are below its
+  /// maximum.
+  auto exceeds_grant() const -> bool;
+  auto record_interruption(std::string_view reason, bool by_upstream) -> attempt_outcome;
+
+  gateway_context* context_;
+  gateway_request* request_;
+  upstream* target_;
+  milliseconds sent_at_;
+  std::shared_ptr<outgoing_connection> connection_;
+  event_stream events_;
+};
+
+}  // namespace birchlever
--- a/birchlever/rpc/peer_server.cpp
+++ b/birchlever/rpc/peer_server.cpp
@@ -109,8 +109,8 @@
 
   auto hear_generation(rpc::text_reply& reply, const rpc::envelope& sender) -> void override {
     answer_text(reply, sender, [this] {
-      auto able = context_->configuration_->fresh() && !context_->stopping_;
-      return result<std::string>{std::string{able ? able_to_own : ""}};
+      auto able = context_->configuration_->is_up_to_date() && !context_->stopping_;
+      return result<std::string>{std::string{able ? can_own_reply : ""}};
     });
   }
 
@@ -118,7 +118,7 @@
     if (!welcome(sender)) {
       return;
     }
-    auto taken = take_shared_views(*context_, views);
+    auto taken = apply_shared_views(*context_, views);
     if (!ok(taken)) {
       log_failure(log_level::warning, "shared_views_refused", failure(taken));
     }
@@ -132,14 +132,14 @@
   auto welcome(const rpc::envelope& sender) -> bool {
     auto known = false;
     for (const auto& key : keys_) {
-      known = equal_secrets(key, sender.fleet_key) || known;
+      known = constant_time_equal(key, sender.fleet_key) || known;
     }
     if (!known) {
       context_->metrics_->count("peer_refusals_total");
       log_event(log_level::warning, "peer_refused", {{"sender", sender.sender}});
       return false;
     }
-    if (context_->configuration_->heard(sender.generation)) {
+    if (context_->configuration_->record_seen(sender.generation)) {
       look_now_();
     }
     return true;
--- a/birchlever/upstream/upstream_exchange.h
+++ b/birchlever/upstream/upstream_exchange.h
@@ -1,4 +1,4 @@
-/// One request to an upstream, answered piece by piece.
+/// HTTP exchange with an upstream, with a streamed response.
 #pragma once
 
 #include <condition_variable>
@@ -15,7 +15,7 @@
 
 namespace birchlever {
 
-/// What to send.
+/// Request to an upstream.
 struct upstream_request {
   endpoint target_;
   std::string method_ = "POST";
@@ -25,40 +25,40 @@
   std::map<std::string, std::string> headers_;
 };
 
-/// A piece of an answer, or its end.
-struct upstream_piece {
+/// Chunk of a response body, or its end.
+struct response_chunk {
   std::string bytes_;
   bool end_ = false;
 };
 
-/// Runs the request on a thread of its own, since the HTTP library blocks; the reader pulls. The queue
-/// between them is bounded, so a slow caller slows its upstream instead of filling memory.
+/// Runs the blocking HTTP request on its own thread. Chunks pass through a bounded queue, which applies
+/// backpressure to the upstream if the reader is slow.
 class upstream_exchange {
  public:
-  /// Sends the request now.
+  /// Starts sending the request.
   static auto start(std::shared_ptr<http_connection_pool> pool, upstream_request request)
       -> std::unique_ptr<upstream_exchange>;
 
-  /// Cancels what still runs and waits for the thread.
+  /// Cancels the exchange and joins its thread.
   ~upstream_exchange();
 
   upstream_exchange(const upstream_exchange&) = delete;
   auto operator=(const upstream_exchange&) -> upstream_exchange& = delete;
 
-  /// The answer's HTTP status. Failures: upstream_refused (surely not taken in), upstream_timeout and
-  /// upstream_failed (outcome_unknown).
-  auto wait_status(milliseconds patience) -> result<int>;
+  /// Waits for the HTTP status. Failures: upstream_refused (request not sent), upstream_timeout and
+  /// upstream_failed (both outcome_unknown).
+  auto wait_status(milliseconds timeout) -> result<int>;
 
-  /// The next piece. Failures: upstream_timeout, upstream_failed (the stream broke off).
-  auto next(milliseconds patience) -> result<upstream_piece>;
+  /// Waits for the next chunk. Failures: upstream_timeout, upstream_failed (response interrupted).
+  auto next(milliseconds timeout) -> result<response_chunk>;
 
-  /// The rest of the answer as one text.
-  auto read_all(milliseconds patience) -> result<std::string>;
+  /// Returns the remaining response body. Failures: as next().
+  auto read_all(milliseconds timeout) -> result<std::string>;
 
-  /// The answer's content type; valid after wait_status.
+  /// Content type of the response; valid after wait_status().
   [[nodiscard]] auto content_type() const -> std::string;
 
-  /// Lets go of the upstream; it sees its connection closed.
+  /// Cancels the exchange and closes the connection.
   auto cancel() -> void;
 
  private:
@@ -66,16 +66,16 @@
   auto run(const std::shared_ptr<http_connection_pool>& pool, const upstream_request& request) -> void;
   auto on_status(int status, std::string content_type) -> void;
   auto on_bytes(const char* bytes, std::size_t length) -> bool;
-  auto finish(std::unique_ptr<error> fault) -> void;
+  auto finish(std::unique_ptr<error> cause) -> void;
 
   mutable std::mutex mutex_;
   std::condition_variable changed_;
-  std::deque<std::string> pieces_;
+  std::deque<std::string> chunks_;
   int status_ = 0;
   std::string content_type_;
   bool finished_ = false;
   bool cancelled_ = false;
-  std::unique_ptr<error> fault_;
+  std::unique_ptr<error> error_;
   std::thread thread_;
 };
 
--- a/birchlever_daemon/daemon.cpp
+++ b/birchlever_daemon/daemon.cpp
@@ -17,7 +17,7 @@
 #include "birchlever/core/test_switches.h"
 #include "birchlever/filters/caller_server.h"
 #include "birchlever/operators/operator_console.h"
-#include "birchlever/policy/policy_book.h"
+#include "birchlever/policy/policy_registry.h"
 #include "birchlever/rpc/peer_client_pool.h"
 #include "birchlever/rpc/peer_server.h"
 #include "birchlever/storage/http_table_store.h"
@@ -72,13 +72,13 @@
   made->configuration_ = value(configuration);
   made->fleet_ = std::make_shared<fleet_view>(static_cast<int>(settings.shard_count_));
   made->upstreams_ = std::make_shared<upstream_table>();
-  made->policies_ = std::make_shared<policy_book>();
+  made->policies_ = std::make_shared<policy_registry>();
   made->comparison_ = std::make_shared<policy_comparison>();
   made->metrics_ = std::make_shared<metrics>();
   made->traces_ = std::make_shared<trace_recorder>("birchlever-" + made->daemon_id_);
   made->upstream_pool_ = value(http_connection_pool::create(http_pool_settings{}));
   auto stream = http_pool_settings{};
-  stream.answer_timeout_ = settings.upstream_wait_ms_;
+  stream.response_timeout_ = settings.upstream_wait_ms_;
   made->stream_pool_ = value(http_connection_pool::create(stream));
   return made;
 }
@@ -148,7 +148,7 @@
 auto daemon::state::start() -> status {
   start_actors();
   control_ = system_->spawn<control_controller, caf::detached>(context_, shards_, gateway_);
-  auto look_now = [control = control_] { caf::anon_send(control, look_atom::value); };
+  auto look_now = [control = control_] { caf::anon_send(control, poll_atom::value); };
   auto peers = peer_server::create(
       context_, shard_set_,
       [console = console_](const std::string& text) { return console->local_rows(text); }, look_now);
@@ -178,7 +178,7 @@
 
 auto daemon::state::wait_for_calls() -> bool {
   auto give_up_at = context_->clock_->now() + context_->settings_.drain_ms_;
-  while (context_->calls_under_way_ > 0 || gateway_->open_settlements() > 0) {
+  while (context_->calls_in_flight_ > 0 || gateway_->open_settlements() > 0) {
     if (context_->clock_->now() >= give_up_at) {
       return false;
     }
--- a/birchlever_daemon/gateway_daemon.cpp
+++ b/birchlever_daemon/gateway_daemon.cpp
@@ -11,7 +11,7 @@
 #include "birchlever/core/hashing.h"
 #include "birchlever/gateway/configuration_freshness.h"
 #include "birchlever/http/connection_pool.h"
-#include "birchlever/policy/policy_book.h"
+#include "birchlever/policy/policy_registry.h"
 #include "birchlever/telemetry/log.h"
 #include "birchlever/telemetry/metrics.h"
 #include "birchlever_daemon/gateway_flags.h"
@@ -80,7 +80,7 @@
   program_settings.daemon_ = incarnation_name();
   program_settings.draw_ahead_ = settings_.draw_ahead_;
   program_settings.cache_bytes_ = static_cast<std::size_t>(settings_.history_cache_bytes_);
-  program_settings.begin_patience_ = settings_.store_patience_ms_;
+  program_settings.max_start_wait_ = settings_.store_patience_ms_;
   program_settings.retry_after_ = settings_.store_retry_ms_;
   auto programs = program_store::create(loop_, store_, program_settings);
   if (!ok(programs)) {
@@ -99,16 +99,16 @@
   context_->dialect_ = std::make_shared<platform::header_dialect>();
   context_->upstream_connections_ = connection_pool::create(loop_, {});
   context_->upstreams_ = std::make_shared<upstream_directory>(directory_settings);
-  context_->upstreams_->on_connected([this](const asio::ip::tcp::endpoint& address) {
-    return context_->upstream_connections_->has_idle(address, context_->limits_.streaming_most_idle_);
+  context_->upstreams_->set_connection_check([this](const asio::ip::tcp::endpoint& address) {
+    return context_->upstream_connections_->has_idle(address, context_->limits_.streaming_max_idle_ms_);
   });
   context_->programs_ = value(programs);
   watch_freshness();
-  context_->policies_ = std::make_shared<policy_book>();
+  context_->policies_ = std::make_shared<policy_registry>();
   context_->metrics_ = std::make_shared<metrics>();
   context_->engine_policy_ = engine_policy_name;
   context_->service_policy_ = service_policy_name;
-  context_->home_upstreams_ = settings_.home_upstreams_ != 0;
+  context_->program_affinity_ = settings_.home_upstreams_ != 0;
   auto loaded = load_policies();
   if (!ok(loaded)) {
     return loaded;
@@ -183,13 +183,13 @@
   };
   auto scanned = std::make_shared<std::vector<stored_row>>();
   auto events = table_follower_events{};
-  events.scan_began_ = [scanned] { scanned->clear(); };
-  events.scanned_ = [scanned](const auto& rows) {
+  events.scan_started_ = [scanned] { scanned->clear(); };
+  events.page_scanned_ = [scanned](const auto& rows) {
     scanned->insert(scanned->end(), rows.begin(), rows.end());
   };
   events.scan_ended_ = [take_all, scanned](std::int64_t /*version*/) { take_all(*scanned, true); };
   events.changes_ = [take_all](const auto& rows) { take_all(rows, false); };
-  events.answered_ = [this](milliseconds began_at) { context_->freshness_->note_look(began_at); };
+  events.verified_ = [this](milliseconds began_at) { context_->freshness_->record_poll(began_at); };
   configuration_follower_ = table_follower::create(loop_, store_, settings, std::move(events));
   upstream_follower_ = upstream_follower::create(
       loop_, store_, platform::names::upstream_table, context_->upstreams_, platform::decode_upstream,
@@ -197,18 +197,19 @@
 }
 
 auto gateway_daemon::watch_freshness() -> void {
-  auto& trust = context_->trust_;
-  trust.known_key_ms_ = settings_.revoke_ms_ - settings_.revoke_ms_ / trust_margin;
-  trust.unknown_key_ms_ = settings_.configuration_apply_ms_;
-  trust.stream_hold_ms_ = settings_.store_patience_ms_;
+  auto& trust = context_->freshness_limits_;
+  trust.known_key_max_age_ms_ = settings_.revoke_ms_ - settings_.revoke_ms_ / trust_margin;
+  trust.unknown_key_max_age_ms_ = settings_.configuration_apply_ms_;
+  trust.min_stream_hold_ms_ = settings_.store_patience_ms_;
   trust.retry_ms_ = settings_.store_retry_ms_;
   context_->freshness_ = std::make_shared<configuration_freshness>(loop_);
-  context_->freshness_->on_wanted([this] { start(loop_, "renew_configuration", renew_configuration()); });
+  context_->freshness_->on_first_waiter(
+      [this] { start(loop_, "renew_configuration", renew_configuration()); });
 }
 
 auto gateway_daemon::renew_configuration() -> task<> {
-  while (context_->freshness_->wanted()) {
-    auto answered = co_await configuration_follower_->look_now();
+  while (context_->freshness_->has_waiters()) {
+    auto answered = co_await configuration_follower_->poll_now();
     if (!answered) {
       co_await pause_for(loop_, renewal_gap);
     }
@@ -241,7 +242,7 @@
 auto gateway_daemon::take_closures(const std::vector<stored_row>& rows, bool whole_table) -> void {
   auto closed = whole_table ? std::set<std::string>{} : closed_halls_;
   for (const auto& row : rows) {
-    auto hall = platform::evacuated_hall(row.key_.key_);
+    auto hall = platform::evacuated_data_hall(row.key_.key_);
     if (hall && row.removed_) {
       closed.erase(*hall);
     } else if (hall) {
@@ -304,7 +305,7 @@
     return;
   }
   settings_text_ = read_text(settings_file_);
-  auto faults = std::vector<setting_fault>{};
+  auto faults = std::vector<setting_error>{};
   auto fresh = read_gateway_settings(settings_file_, faults);
   auto more = check_settings(fresh);
   faults.insert(faults.end(), more.begin(), more.end());
@@ -349,7 +350,7 @@
   auto began = context_->clock_.now();
   auto leave_at =
       began + static_cast<milliseconds>(settings_.stop_grace_s_ * ms_per_second) - leave_margin_ms;
-  log_event(log_level::info, "stop", {{"under_way", std::int64_t{context_->under_way_}}});
+  log_event(log_level::info, "stop", {{"under_way", std::int64_t{context_->in_flight_}}});
   context_->stopping_ = true;
   // The balancer goes on sending connections until it has looked twice; they are served.
   if (allowances_) {
@@ -358,12 +359,12 @@
   auto quiet_at = std::min(began + balancer_looks_ms, leave_at);
   co_await pause_for(loop_, quiet_at - began);
   server_->stop_accepting();
-  while ((context_->under_way_ > 0 || server_->connections() > 0) && context_->clock_.now() < leave_at) {
+  while ((context_->in_flight_ > 0 || server_->connections() > 0) && context_->clock_.now() < leave_at) {
     co_await pause_for(loop_, finish_check_gap);
   }
-  finished_all_ = context_->under_way_ == 0;
+  finished_all_ = context_->in_flight_ == 0;
   log_event(log_level::info, "stopped",
-            {{"under_way", std::int64_t{context_->under_way_}}, {"took_ms", context_->clock_.now() - began}});
+            {{"under_way", std::int64_t{context_->in_flight_}}, {"took_ms", context_->clock_.now() - began}});
   loop_.stop();
 }
 
--- a/birchlever_daemon/gateway_daemon_pages.cpp
+++ b/birchlever_daemon/gateway_daemon_pages.cpp
@@ -27,7 +27,7 @@
 auto gateway_daemon::ready() const -> bool {
   // Without the store, and without a peer that relays, callers go to others; when all are so, the balancer
   // uses all.
-  auto store_answers = store_->away_for() < unready_after_ms;
+  auto store_answers = store_->unreachable_for() < unready_after_ms;
   return !context_->stopping_ && context_->configuration_ && upstream_follower_->primed() && store_answers;
 }
 
@@ -57,21 +57,21 @@
 
 auto gateway_daemon::metrics_page() -> http_response {
   auto& counters = *context_->metrics_;
-  counters.gauge("requests_under_way", context_->under_way_);
+  counters.gauge("requests_under_way", context_->in_flight_);
   counters.gauge("caller_connections", static_cast<double>(server_->connections()));
   const auto& usage = store_->usage();
   counters.gauge("store_calls", static_cast<double>(usage.calls()));
   counters.gauge("store_calls_by_kind{kind=\"transaction\"}", static_cast<double>(usage.transactions_));
   counters.gauge("store_calls_by_kind{kind=\"read\"}", static_cast<double>(usage.reads_));
-  counters.gauge("store_calls_by_kind{kind=\"feed\"}", static_cast<double>(usage.looks_));
+  counters.gauge("store_calls_by_kind{kind=\"feed\"}", static_cast<double>(usage.feed_polls_));
   counters.gauge("store_calls_by_outcome{outcome=\"conflict\"}", static_cast<double>(usage.conflicts_));
   counters.gauge("store_calls_by_outcome{outcome=\"throttled\"}", static_cast<double>(usage.throttled_));
   counters.gauge("store_calls_by_outcome{outcome=\"failed\"}", static_cast<double>(usage.failed_));
-  counters.gauge("store_writes_waiting", static_cast<double>(store_->writes_waiting()));
+  counters.gauge("store_writes_waiting", static_cast<double>(store_->queued_writes()));
   counters.gauge("upstreams_listed", static_cast<double>(context_->upstreams_->size()));
   counters.gauge("upstream_entries_unreadable", static_cast<double>(upstream_follower_->unreadable()));
   counters.gauge("store_reachable", store_->reachable() ? 1 : 0);
-  counters.gauge("peers_heard", peers_ ? static_cast<double>(peers_->views().fresh_peers()) : 0);
+  counters.gauge("peers_heard", peers_ ? static_cast<double>(peers_->views().recent_peers()) : 0);
   counters.gauge("log_lines_dropped", static_cast<double>(dropped_log_lines()));
   counters.gauge("programs_removed", static_cast<double>(sweeper_->removed()));
   counters.gauge("history_cache_bytes", static_cast<double>(context_->programs_->cached_bytes()));
@@ -79,10 +79,11 @@
                  static_cast<double>(context_->upstream_connections_->opened()));
   counters.gauge("configuration_version",
                  context_->configuration_ ? static_cast<double>(context_->configuration_->version_) : 0);
-  auto sure_at = context_->freshness_->sure_at();
+  auto sure_at = context_->freshness_->verified_at();
   counters.gauge("configuration_age_ms",
                  sure_at ? static_cast<double>(context_->clock_.now() - *sure_at) : never_known);
-  counters.gauge("allotments_without_grantor", grants_ ? static_cast<double>(grants_->unanswered()) : 0);
+  counters.gauge("allotments_without_grantor",
+                 grants_ ? static_cast<double>(grants_->fallback_decisions()) : 0);
   auto answer = http_response{http::status::ok, 11};
   answer.set(http::field::content_type, "text/plain; version=0.0.4");
   const auto* book = context_->configuration_ ? context_->configuration_->accounts_.get() : nullptr;
@@ -99,11 +100,11 @@
             {{"transactions", usage.transactions_},
              {"conflicts", usage.conflicts_},
              {"reads", usage.reads_},
-             {"feed_looks", usage.looks_},
+             {"feed_looks", usage.feed_polls_},
              {"throttled", usage.throttled_},
              {"failed", usage.failed_},
              {"history_cache_bytes", static_cast<std::int64_t>(context_->programs_->cached_bytes())},
-             {"under_way", std::int64_t{context_->under_way_}}});
+             {"under_way", std::int64_t{context_->in_flight_}}});
 }
 
 }  // namespace birchlever
--- a/birchlever_daemon/gateway_daemon_peers.cpp
+++ b/birchlever_daemon/gateway_daemon_peers.cpp
@@ -1,7 +1,7 @@
 /// The part of gateway_daemon that works with other daemons: what they tell each other, budgets handed over,
 /// allowances, calls of the store made for each other.
 #include "birchlever/accounts/equal_shares.h"
-#include "birchlever/accounts/reached_share.h"
+#include "birchlever/accounts/reachable_share.h"
 #include "birchlever/controllers/budget_transfer.h"
 #include "birchlever/controllers/central_grants.h"
 #include "birchlever/controllers/peer_feed.h"
@@ -43,9 +43,11 @@
     return failure(joined);
   }
   peers_ = std::move(value(joined));
-  peers_->on_news(
-      [this](const std::string& peer, const upstream_news& news) { context_->upstreams_->hear(peer, news); });
-  context_->upstreams_->on_news([this](const upstream_news& news) { peers_->tell(news); });
+  peers_->on_health_report([this](const std::string& peer, const upstream_health_report& news) {
+    context_->upstreams_->apply_peer_report(peer, news);
+  });
+  context_->upstreams_->on_health_report(
+      [this](const upstream_health_report& news) { peers_->publish(news); });
   auto transfer_settings = budget_transfer_settings{};
   transfer_settings.daemon_ = incarnation_name();
   budget_transfer_ = budget_transfer::create(
@@ -61,7 +63,7 @@
     return kept;
   }
   store_->set_relay([this] { return relay_through(); });
-  context_->daemons_ = unknown_fleet;
+  context_->daemon_count_ = unknown_fleet;
   start(loop_, "follow_peers", follow_peers());
   return success;
 }
@@ -72,7 +74,7 @@
     return success;
   }
   if (settings_.allotments_ == "equal" || !peers_) {  // Without peers this daemon's share is the whole.
-    auto count = [this] { return context_->daemons_; };
+    auto count = [this] { return context_->daemon_count_; };
     context_->allotments_ =
         std::make_shared<equal_shares>(equal_shares_settings{}, count, std::make_shared<steady_clock>());
     return success;
@@ -85,7 +87,7 @@
   settings.vm_ = settings_.vm_id_;
   settings.address_ = value(first_port).address().to_string() + ":" +
                       std::to_string(value(first_port).port() + grants_port_offset);
-  settings.desk_.buckets_.overdraft_ = settings_.allotment_tolerance_ / 2;
+  settings.grantor_.buckets_.overdraft_ = settings_.allotment_tolerance_ / 2;
   auto limit_of = [this](const std::string& name) -> std::optional<account_allotment> {
     auto book = context_->configuration_ ? context_->configuration_->accounts_ : nullptr;
     const auto* account = book ? book->find(name) : nullptr;
@@ -97,7 +99,7 @@
   }
   grants_ = std::move(value(made));
   context_->allotments_ = grants_;
-  peers_->on_heard([this](const std::string& vm) { grants_->note_heard(vm); });
+  peers_->on_peer_seen([this](const std::string& vm) { grants_->record_seen(vm); });
   peers_->on_list([this](const std::map<std::string, asio::ip::udp::endpoint>& listed) {
     auto members = central_grants::member_map{};
     for (const auto& [vm, address] : listed) {
@@ -110,14 +112,14 @@
 }
 
 auto gateway_daemon::allotment_share() const -> double {
-  auto heard = heard_peers{};
-  heard.living_ = peers_->views().heard_within(peer_gone_after);
+  auto heard = peer_reachability{};
+  heard.live_ = peers_->views().seen_within(peer_gone_after);
   heard.window_ = allotment_hearing;
-  heard.heard_ = peers_->views().heard_within(allotment_hearing);
-  heard.listening_ = context_->clock_.now() - joined_at_;
-  heard.send_gap_ = peers_->settings().send_gap_;
-  heard.receivers_ = static_cast<std::size_t>(peers_->settings().most_receivers_);
-  return reached_share(heard);
+  heard.seen_ = peers_->views().seen_within(allotment_hearing);
+  heard.receiving_for_ = context_->clock_.now() - joined_at_;
+  heard.send_interval_ = peers_->settings().send_interval_;
+  heard.fanout_ = static_cast<std::size_t>(peers_->settings().max_receivers_);
+  return reachable_share(heard);
 }
 
 auto gateway_daemon::hold_allowances() -> status {
@@ -157,13 +159,13 @@
 auto gateway_daemon::describe_self() const -> peer_state {
   auto state = peer_state{};
   state.vm_ = settings_.vm_id_;
-  state.store_silence_ = store_->silent_for();
+  state.store_response_age_ = store_->time_since_response();
   state.configuration_ = context_->configuration_ ? context_->configuration_->version_ : 0;
   state.control_address_ = settings_.control_address_;
-  state.allowance_ranges_ = allowances_ ? allowances_->held() : 0;
+  state.allowance_ranges_ = allowances_ ? allowances_->held_ranges() : 0;
   state.follows_ = upstream_feed_ && upstream_feed_->follows();
   if (upstream_feed_) {
-    state.followers_ = upstream_feed_->told_followers();
+    state.followers_ = upstream_feed_->reported_followers();
   }
   state.cores_ = settings_.cores_;
   state.region_ = regions_.region_of(settings_.data_hall_);
@@ -175,10 +177,10 @@
 auto gateway_daemon::follow_peers() -> task<> {
   while (true) {
     co_await pause_for(loop_, peer_look_gap);
-    context_->upstreams_->find_stalled();
-    context_->daemons_ =
+    context_->upstreams_->detect_stalled();
+    context_->daemon_count_ =
         peers_->list_known() ? static_cast<std::int64_t>(peers_->listed_peers()) + 1 : unknown_fleet;
-    store_->set_fleet(settings_.store_writes_per_s_, context_->daemons_);
+    store_->set_fleet_capacity(settings_.store_writes_per_s_, context_->daemon_count_);
     context_->upstreams_->set_running_elsewhere(peers_->views().running_elsewhere());
   }
 }
@@ -190,7 +192,8 @@
     return std::nullopt;
   }
   auto region = regions_.region_of(settings_.data_hall_);
-  const auto* peer = peers_->views().answered_since(store_->lost_at() + peer_clock_margin, region);
+  const auto* peer = peers_->views().find_peer_with_store_contact_since(
+      store_->unreachable_since() + peer_clock_margin, region);
   if (peer == nullptr) {
     return std::nullopt;
   }
--- a/fleet_model/allotment_model.cpp
+++ b/fleet_model/allotment_model.cpp
@@ -5,10 +5,10 @@
 #include <memory>
 #include <random>
 
+#include "birchlever/accounts/allotment_grantor.h"
 #include "birchlever/accounts/equal_shares.h"
-#include "birchlever/accounts/grantor_desk.h"
 #include "birchlever/accounts/grantor_order.h"
-#include "birchlever/accounts/reached_share.h"
+#include "birchlever/accounts/reachable_share.h"
 #include "birchlever/controllers/central_grants.h"
 #include "fleet_model/event_queue.h"
 
@@ -28,7 +28,7 @@
 
 /// One daemon and what it believes.
 struct granting_daemon {
-  granting_daemon(std::string vm, const grantor_desk_settings& desk, const equal_shares_settings& shares,
+  granting_daemon(std::string vm, const allotment_grantor_settings& desk, const equal_shares_settings& shares,
                   std::int64_t daemons, std::shared_ptr<const clock_interface> clock)
       : order_{grantor_order_settings{vm}},
         desk_{desk},
@@ -36,7 +36,7 @@
         vm_{std::move(vm)} {}
 
   grantor_order order_;
-  grantor_desk desk_;
+  allotment_grantor desk_;
   equal_shares shares_;
   double granted_alone_ = 0;
   std::string vm_;
@@ -54,7 +54,7 @@
 };
 
 using program_pointer = std::shared_ptr<sent_program>;
-using verdict_function = std::function<void(allotment_verdict)>;
+using verdict_function = std::function<void(allotment_decision)>;
 
 class allotment_play {
  public:
@@ -93,8 +93,8 @@
     }
   }
 
-  auto desk_settings() const -> grantor_desk_settings {
-    auto settings = grantor_desk_settings{};
+  auto desk_settings() const -> allotment_grantor_settings {
+    auto settings = allotment_grantor_settings{};
     settings.buckets_.overdraft_ = load_.overdraft_;
     return settings;
   }
@@ -151,12 +151,12 @@
     auto wanted = allotment_claim{account_name, limit_, program->sent_ == 0, load_.program_requests_,
                                   static_cast<milliseconds>(load_.program_requests_ * load_.request_gap_ms_)};
     if (way_ == allotment_way::scattered) {
-      wanted.begins_program_ = false;
+      wanted.starts_program_ = false;
     }
-    claim(program->daemon_, wanted, [this, program](allotment_verdict verdict) { take(program, verdict); });
+    claim(program->daemon_, wanted, [this, program](allotment_decision verdict) { take(program, verdict); });
   }
 
-  auto take(const program_pointer& program, allotment_verdict verdict) -> void {
+  auto take(const program_pointer& program, allotment_decision verdict) -> void {
     if (!verdict.granted_) {
       outcome_.refused_ += program->tries_ == 0 ? 1 : 0;
       if (++program->tries_ >= caller_tries) {
@@ -173,7 +173,7 @@
 
   auto ran(const program_pointer& program) -> void {
     ran_at_.push_back(events_.now_ms());
-    allowed_.push_back(limit_.most_in(window_ms / ms_per_second) * rule_overage + rule_tolerance);
+    allowed_.push_back(limit_.max_requests_in(window_ms / ms_per_second) * rule_overage + rule_tolerance);
     if (++program->sent_ == program->requests_) {
       ++outcome_.completed_;
       auto unhindered = program->requests_ * load_.request_gap_ms_;
@@ -194,29 +194,29 @@
   }
 
   auto share_of(std::size_t index) const -> double {
-    auto heard = heard_peers{};
-    heard.living_ = daemons_.size() - 1;
+    auto heard = peer_reachability{};
+    heard.live_ = daemons_.size() - 1;
     heard.window_ = static_cast<milliseconds>(hearing_ms);
     auto listening = events_.now_ms() - load_.kill_at_ms_ - load_.kill_pause_ms_;
-    heard.listening_ =
+    heard.receiving_for_ =
         load_.kill_share_ > 0 && listening > 0 ? static_cast<milliseconds>(listening) : heard.window_;
     auto known_cut = events_.now_ms() - load_.cut_from_ms_ >= hearing_ms;
     auto known_dead = events_.now_ms() - load_.kill_at_ms_ >= hearing_ms;
     for (auto other = std::size_t{0}; other < daemons_.size(); ++other) {
       auto lost = (known_cut && (daemons_[other]->cut_ || daemons_[index]->cut_)) ||
                   (known_dead && !daemons_[other]->alive_);
-      heard.heard_ += other == index || lost ? 0 : 1;
+      heard.seen_ += other == index || lost ? 0 : 1;
     }
-    return reached_share(heard);
+    return reachable_share(heard);
   }
 
-  auto decide(std::size_t asker, std::size_t grantor, const allotment_claim& wanted) -> allotment_verdict {
+  auto decide(std::size_t asker, std::size_t grantor, const allotment_claim& wanted) -> allotment_decision {
     auto& daemon = *daemons_[grantor];
     auto alone = std::exchange(daemons_[asker]->granted_alone_, 0);
-    auto first = index_of(daemon.order_.first(account_name));
+    auto first = index_of(daemon.order_.primary(account_name));
     auto verdict = daemon.desk_.claim(wanted, share_of(grantor), first == grantor, alone, now());
     if (verdict.granted_ && first != grantor && reached(grantor, first)) {
-      events_.after(static_cast<double>(settings_.debit_gap_),
+      events_.after(static_cast<double>(settings_.debit_interval_),
                     [this, first] { daemons_[first]->desk_.debit(account_name, 1); });
     }
     return verdict;
@@ -258,19 +258,19 @@
       });
       return;
     }
-    events_.after(static_cast<double>(settings_.answer_limit_), [=, this] {
+    events_.after(static_cast<double>(settings_.reply_timeout_), [=, this] {
       if (tries + 1 < settings_.tries_) {
         ask(daemon, candidates, next, tries + 1, wanted, done);
         return;
       }
-      daemons_[daemon]->order_.note_silent(candidates[next], now());
+      daemons_[daemon]->order_.record_unresponsive(candidates[next], now());
       ask(daemon, candidates, next + 1, 0, wanted, done);
     });
   }
 
-  auto answer(std::size_t daemon, allotment_verdict verdict, const verdict_function& done) -> void {
+  auto answer(std::size_t daemon, allotment_decision verdict, const verdict_function& done) -> void {
     if (verdict.granted_) {
-      daemons_[daemon]->shares_.note_granted(account_name);
+      daemons_[daemon]->shares_.record_granted(account_name);
     }
     done(verdict);
   }
@@ -295,12 +295,12 @@
   auto restart(std::size_t count) -> void {
     for (auto index = std::size_t{0}; index < count; ++index) {
       auto& daemon = *daemons_[index];
-      daemon.desk_ = grantor_desk{desk_settings()};
+      daemon.desk_ = allotment_grantor{desk_settings()};
       auto count_all = [this] { return static_cast<std::int64_t>(load_.daemons_); };
       daemon.shares_ = equal_shares{share_settings(), count_all, events_.clock()};
       daemon.alive_ = true;
       for (auto& other : daemons_) {
-        other->order_.note_heard(daemon.vm_);
+        other->order_.record_seen(daemon.vm_);
       }
     }
   }
@@ -327,7 +327,7 @@
     auto hot = static_cast<double>(std::count_if(wanted_at_.begin(), wanted_at_.end(), [&](double at) {
       return at >= load_.hot_from_ms_ && at < hot_end;
     }));
-    auto room = load_.allotment_.most_in(load_.hot_for_ms_ / ms_per_second) / load_.program_requests_;
+    auto room = load_.allotment_.max_requests_in(load_.hot_for_ms_ / ms_per_second) / load_.program_requests_;
     outcome_.owed_ = static_cast<double>(outcome_.programs_) - hot + std::min(hot, room);
     outcome_.asks_per_s_ = static_cast<double>(asks_) * ms_per_second / load_.duration_ms_;
     return outcome_;
