--- a/birchlever/controllers/table_follower.cpp
+++ b/birchlever/controllers/table_follower.cpp
@@ -40,7 +40,7 @@
 auto table_follower::record_response() -> void {
   if (std::exchange(store_unreachable_, false)) {
     reconnected_at_ = clock_.now();
-    log_event(log_level::info, "store_reachable_again", {{"table", settings_.table_}, {"version", version_}});
+    log_event(log_level::info, "table_poll_recovered", {{"table", settings_.table_}, {"version", version_}});
   }
 }
 
@@ -64,7 +64,7 @@
 
 auto table_follower::record_failure(const error& reason) -> void {
   if (!std::exchange(store_unreachable_, true)) {
-    log_event(log_level::warning, "store_unreachable",
+    log_event(log_level::warning, "table_poll_failing",
               {{"table", settings_.table_},
                {"version", version_},
                {"reason", std::string{name_of(reason.code_)}},
