--- a/birchlever/controllers/central_grants.cpp
+++ b/birchlever/controllers/central_grants.cpp
@@ -180,7 +180,7 @@
   auto address = members_.at(vm);
   auto pending = std::make_shared<pending_request>(*loop_);
   pending_[request.number_] = pending;
-  for (auto attempt = 0; attempt < settings_.tries_ && !pending->reply_; ++attempt) {
+  for (auto attempt = 0; attempt < settings_.max_attempts_ && !pending->reply_; ++attempt) {
     send(request, address);
     co_await pending->reply_received_.wait_for(settings_.reply_timeout_);
   }
--- a/birchlever/controllers/central_grants.h
+++ b/birchlever/controllers/central_grants.h
@@ -28,7 +28,7 @@
   std::string address_;  ///< "ip:port" of the datagram socket; the port is the same on all daemons.
   allotment_grantor_settings grantor_;
   milliseconds reply_timeout_ = 60;      ///< Timeout of one attempt.
-  int tries_ = 2;                        ///< Attempts per grantor.
+  int max_attempts_ = 2;                 ///< Attempts per grantor.
   milliseconds debit_interval_ = 200;    ///< Interval of a backup grantor's reports to the primary grantor.
   milliseconds reply_retention_ = 1000;  ///< Time for which a reply is kept for retransmitted requests.
   equal_shares_settings fallback_{5000, 0.85};  ///< Used while no grantor replies. Below the full share,
--- a/birchlever/controllers/shard_writer.cpp
+++ b/birchlever/controllers/shard_writer.cpp
@@ -24,7 +24,7 @@
   auto settings = lease_settings{};
   settings.duration_ = context_->settings_.lease_ms_;
   settings.margin_ = context_->settings_.lease_margin_ms_;
-  settings.renew_every_ = context_->settings_.lease_renew_ms_;
+  settings.renew_interval_ = context_->settings_.lease_renew_ms_;
   settings.rank_step_ = std::max<milliseconds>(50, context_->settings_.lease_margin_ms_ / 2);
   auto made = lease::create(settings, shard_, context_->instance_id_, context_->peer_address_,
                             context_->store_, context_->clock_);
--- a/birchlever/coordination/lease.cpp
+++ b/birchlever/coordination/lease.cpp
@@ -34,7 +34,7 @@
 auto lease::create(const lease_settings& settings, int shard, std::string owner, std::string address,
                    std::shared_ptr<table_store_interface> store, std::shared_ptr<clock_interface> clock)
     -> result<lease> {
-  if (settings.margin_ < 0 || settings.duration_ <= settings.margin_ + settings.renew_every_) {
+  if (settings.margin_ < 0 || settings.duration_ <= settings.margin_ + settings.renew_interval_) {
     return error{error_code::invalid_setting,
                  "lease duration must exceed the sum of its margin and renewal interval"};
   }
@@ -199,7 +199,7 @@
 }
 
 auto lease::renewal_due() const -> bool {
-  return holding_ && clock_->now() - renewed_at_ >= settings_.renew_every_;
+  return holding_ && clock_->now() - renewed_at_ >= settings_.renew_interval_;
 }
 
 auto lease::abandon() -> void {
--- a/birchlever/coordination/lease.h
+++ b/birchlever/coordination/lease.h
@@ -13,10 +13,10 @@
 
 /// Settings of a lease. Times in milliseconds.
 struct lease_settings {
-  milliseconds duration_ = 6000;     ///< Measured from the send of a renewal.
-  milliseconds margin_ = 1000;       ///< The holder stops this early; a successor starts this late.
-  milliseconds renew_every_ = 2000;  ///< Interval between renewals.
-  milliseconds rank_step_ = 400;     ///< Extra wait per rank behind the preferred owner.
+  milliseconds duration_ = 6000;        ///< Measured from the send of a renewal.
+  milliseconds margin_ = 1000;          ///< The holder stops this early; a successor starts this late.
+  milliseconds renew_interval_ = 2000;  ///< Interval between renewals.
+  milliseconds rank_step_ = 400;        ///< Extra wait per rank behind the preferred owner.
 };
 
 /// Contents of a lease row.
--- a/fleet_model/allotment_model.cpp
+++ b/fleet_model/allotment_model.cpp
@@ -259,7 +259,7 @@
       return;
     }
     events_.after(static_cast<double>(settings_.reply_timeout_), [=, this] {
-      if (tries + 1 < settings_.tries_) {
+      if (tries + 1 < settings_.max_attempts_) {
         ask(daemon, candidates, next, tries + 1, wanted, done);
         return;
       }
