--- a/unit_tests/platform/decode_test.cpp
+++ b/unit_tests/platform/decode_test.cpp
@@ -109,26 +109,26 @@
 }
 
 TEST_CASE("entries with a missing field, a field of the wrong type or an unknown state are rejected") {
-  const auto good = nlohmann::json::parse(
+  const auto valid = nlohmann::json::parse(
       R"({"service":"s","address":"10.0.0.1:80","zone":"a","slots":6,"version":"v1","cold_left_ms":0,
           "sequence":4,"state":"ready","born":1796300000123,"models":[{"name":"m"}]})");
-  REQUIRE(ok(decode_upstream("i1", good.dump())));
+  REQUIRE(ok(decode_upstream("i1", valid.dump())));
   for (const auto* field :
        {"service", "address", "zone", "slots", "version", "cold_left_ms", "sequence", "state"}) {
-    auto without = good;
+    auto without = valid;
     without.erase(field);
     CHECK(failure(decode_upstream("i1", without.dump())).code_ == error_code::missing_field);
   }
   const auto others = std::vector<nlohmann::json>{
       nullptr, true, -1, 1.5, "", "x", nlohmann::json::array(), nlohmann::json::object()};
-  for (const auto& field : good.items()) {
+  for (const auto& field : valid.items()) {
     for (const auto& other : others) {
       auto same_kind =
           other.type() == field.value().type() || (other.is_number() && field.key() == "sequence");
       if (same_kind) {
         continue;
       }
-      auto changed = good;
+      auto changed = valid;
       changed[field.key()] = other;
       INFO(changed.dump());
       auto accepted = field.key() == "cold_left_ms" && other == 1.5;
@@ -137,20 +137,20 @@
   }
   CHECK_FALSE(ok(decode_upstream("i1", R"("text")")));
   CHECK_FALSE(ok(decode_upstream("i1", "\xff\xfe{")));
-  auto unknown_state = good;
+  auto unknown_state = valid;
   unknown_state["state"] = "resting";
   CHECK(failure(decode_upstream("i1", unknown_state.dump())).code_ == error_code::wrong_type);
 }
 
 TEST_CASE("a packed entry decodes like the JSON entry and has less than half of its size") {
-  const auto good = std::string{
+  const auto valid = std::string{
       R"({"service":"huvo11a","address":"10.128.0.9:8080","zone":"hall-a","version":"v1","slots":6,"state":"ready",)"
       R"("cold_left_ms":70,"stage":"both","models":[{"name":"m","version":1,"adapters":[]}],"sequence":4,"born":5})"};
-  auto packed = pack_upstream(good);
-  CHECK(packed.size() < good.size() / 2);
+  auto packed = pack_upstream(valid);
+  CHECK(packed.size() < valid.size() / 2);
   REQUIRE(ok(decode_upstream("i1", packed)));
   CHECK(comparison_key(value(decode_upstream("i1", packed))) ==
-        comparison_key(value(decode_upstream("i1", good))));
+        comparison_key(value(decode_upstream("i1", valid))));
   CHECK(pack_upstream(packed) == packed);
   CHECK(pack_upstream("nonsense") == "nonsense");
   CHECK(failure(decode_upstream("i1", pack_upstream("{}"))).code_ == error_code::missing_field);
@@ -158,11 +158,11 @@
 }
 
 TEST_CASE("mutated entries decode to a valid entry or an error") {
-  const auto good = std::string{
+  const auto valid = std::string{
       R"({"service":"s","address":"10.0.0.1:80","zone":"a","slots":6,"version":"v1","cold_left_ms":0,)"
       R"("sequence":4,"state":"ready","born":1796300000123,"models":[{"name":"m"}]})"};
-  auto passed = rc::check("mutated entries", [&good] {
-    auto text = good;
+  auto passed = rc::check("mutated entries", [&valid] {
+    auto text = valid;
     auto changes = *rc::gen::inRange(1, 6);
     for (auto change = 0; change < changes; ++change) {
       auto position = static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(text.size())));
@@ -214,9 +214,9 @@
   request.set("X-Request-Id", "r1");
   request.set("Last-Event-Id", "12");
   CHECK(value(dialect.read_request(request)).last_event_ == 12);
-  auto marks = upstream_headers{};
-  marks.last_event_ = 14;
-  dialect.set_upstream_headers(request, marks);
+  auto headers = upstream_headers{};
+  headers.last_event_ = 14;
+  dialect.set_upstream_headers(request, headers);
   CHECK(field_of(request, "Last-Event-Id") == "14");
   request.set("Last-Event-Id", "twelve");
   CHECK_FALSE(ok(dialect.read_request(request)));
@@ -229,13 +229,13 @@
   request.set("X-Token-Usage", "1840,136");
   request.set("X-Prefix-Hash", "5c1e07a2:800,91bd3f06:410");
   request.set("X-Token-Budget", "1088");
-  auto facts = dialect.read_request(request);
-  REQUIRE(ok(facts));
-  REQUIRE(value(facts).prompt_tokens_ == 1840);
-  REQUIRE(value(facts).max_tokens_ == 136);
-  REQUIRE(value(facts).parts_.size() == 2);
-  REQUIRE(value(facts).parts_[0].id_ == 0x5c1e07a2);
-  REQUIRE(value(facts).budget_ == 1088);
+  auto metadata = dialect.read_request(request);
+  REQUIRE(ok(metadata));
+  REQUIRE(value(metadata).prompt_tokens_ == 1840);
+  REQUIRE(value(metadata).max_tokens_ == 136);
+  REQUIRE(value(metadata).parts_.size() == 2);
+  REQUIRE(value(metadata).parts_[0].id_ == 0x5c1e07a2);
+  REQUIRE(value(metadata).budget_ == 1088);
   for (const auto& [name, content] :
        std::vector<std::pair<std::string, std::string>>{{"X-Prefix-Hash", "zz:1"},
                                                         {"X-Prefix-Hash", "5c"},
