--- a/birchlever/accounts/allotment_policy.h
+++ b/birchlever/accounts/allotment_policy.h
@@ -19,7 +19,7 @@
   milliseconds expected_duration_ = 0;  ///< Expected duration of the program in ms.
 };
 
-/// Result of a claim.
+/// Whether a request is granted under the account's allotment, and when it may be forwarded or retried.
 struct allotment_decision {
   bool granted_ = false;
   milliseconds wait_ = 0;         ///< If granted: ms to wait before the request is forwarded.
--- a/birchlever/controllers/peer_feed.h
+++ b/birchlever/controllers/peer_feed.h
@@ -65,7 +65,7 @@
   auto add_page(const std::vector<stored_row>& rows) -> void { log_.add_page(rows); }
   auto finish_scan(std::int64_t version) -> void;
 
-  /// Returns the followers to name in this daemon's regular messages.
+  /// Returns the preferred table followers, to be included in this daemon's periodic state messages to peers.
   [[nodiscard]] auto reported_followers() const -> std::vector<reported_follower>;
 
   /// Returns true while this daemon polls the store as a follower and can serve changes to peers.
--- a/birchlever/controllers/table_follower.h
+++ b/birchlever/controllers/table_follower.h
@@ -28,7 +28,7 @@
   changes_function changes_;  ///< Replaces the store's own feed, with the same failures; may be empty.
 };
 
-/// Callbacks of a follower.
+/// Callbacks with which a table_follower delivers scans and later changes of its table.
 struct table_follower_events {
   /// A scan starts: rows that it does not deliver until its end no longer exist.
   std::function<void()> scan_started_;
@@ -36,7 +36,7 @@
   std::function<void(const std::vector<stored_row>&)> page_scanned_;
   /// All pages of a scan were delivered; the version is the lowest of all pages.
   std::function<void(std::int64_t)> scan_ended_;
-  /// Rows that changed since, in order.
+  /// Rows that changed since the last scan or previous call, in the order of the feed.
   std::function<void(const std::vector<stored_row>&)> changes_;
   /// The response to a scan or poll that started at the given time of the local clock was delivered: the rows
   /// known here were current at that time. May be empty.
--- a/birchlever/coordination/allowance_ranges.h
+++ b/birchlever/coordination/allowance_ranges.h
@@ -4,6 +4,10 @@
 /// and the time from which it may grant. A daemon acquires a range that is free or whose lease has expired.
 /// After a takeover it grants only once every program that the previous holder may have granted to has ended,
 /// so grants need no record in the store and work during an outage.
+///
+/// The number of ranges must never change on a running fleet: rows are stored by range, so a daemon with
+/// another number would find a program's range elsewhere and could grant to a program that has a grant
+/// already.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +29,9 @@
 struct allowance_settings {
   std::string table_ = "allowances";
   std::string daemon_;  ///< Identifies this incarnation of the daemon.
-  int ranges_ = 32;     ///< Number of ranges, at most 64; must be equal on all daemons and must never change.
+  /// Number of ranges, 1 to 64. Must be equal on all daemons and never change on a running fleet: stored rows
+  /// and grants depend on it.
+  int ranges_ = 32;
   milliseconds lease_ = 60000;              ///< Lease duration; must exceed the longest store outage.
   milliseconds renewal_threshold_ = 40000;  ///< Leases with less time left are renewed.
   milliseconds poll_interval_ = 5000;       ///< Interval between polls of the rows.
--- a/birchlever/coordination/program_store.h
+++ b/birchlever/coordination/program_store.h
@@ -240,8 +240,9 @@
   std::int64_t draws_ = 0;   ///< Number of draws made; part of their names.
   std::minstd_rand random_;  ///< For jitter.
   std::size_t cached_bytes_ = 0;
-  milliseconds store_clock_offset_ = 0;  ///< Store's clock minus local clock; too low by at most the error.
-  milliseconds store_clock_error_ = 0;   ///< Duration of the call that measured the offset.
+  milliseconds store_clock_offset_ = 0;  ///< Lower bound of the store's clock minus the local clock.
+  milliseconds store_clock_error_ =
+      0;  ///< Maximum error of the offset: duration of the call that measured it.
   bool store_clock_known_ = false;
 };
 
--- a/birchlever/coordination/program_store_write.cpp
+++ b/birchlever/coordination/program_store_write.cpp
@@ -10,8 +10,9 @@
 namespace birchlever {
 namespace {
 
-constexpr auto max_batch = std::size_t{16};         // Changes per transaction, which may contain 100 rows.
-constexpr auto max_rows = std::size_t{40};          // A batch with this many rows takes no further change.
+constexpr auto max_batch = std::size_t{16};  // Maximum number of changes per transaction.
+constexpr auto max_rows = std::size_t{
+    40};  // No change is added to this many rows; the store allows 100, a change may write several.
 constexpr auto min_retry_delay = milliseconds{40};  // Between attempts while the store does not respond.
 constexpr auto max_retry_delay = milliseconds{400};
 
--- a/birchlever/gateway/upstream_dispatch.h
+++ b/birchlever/gateway/upstream_dispatch.h
@@ -19,7 +19,7 @@
   /// Attempts made for a request.
   struct attempt_counts {
     int attempts_ = 0;      ///< Upstreams tried.
-    int may_have_run_ = 0;  ///< Attempts that may have run.
+    int may_have_run_ = 0;  ///< Attempts that the upstream may have executed: their outcome is unknown.
   };
 
   auto make_criteria(const gateway_request& request) const -> upstream_criteria;
--- a/birchlever/policy/policy_settings.cpp
+++ b/birchlever/policy/policy_settings.cpp
@@ -10,29 +10,34 @@
                                                             "least_attained_service", "program_aware"};
 
 const auto load_parameters = std::vector<policy_parameter>{
-    {"connection", 0, 0, 100, "calls by which an engine may be fuller when a kept connection to it is free"},
+    {"connection", 0, 0, 100,
+     "load advantage of an engine with an idle pooled connection, in concurrent calls"},
 };
 
 const auto affinity_parameters = std::vector<policy_parameter>{
-    {"overload", 1.5, 1.0, 100.0, "leave the prefix's engine when its load is so many times the mean"},
+    {"overload", 1.5, 1.0, 100.0,
+     "maximum load of an engine preferred for its cached prefix, as a multiple of the mean load"},
 };
 
 const auto service_parameters = std::vector<policy_parameter>{
-    {"step", 1024, 1, 1e9, "tokens of service per priority level"},
+    {"step", 1024, 1, 1e9, "attained service per priority level, in tokens"},
 };
 
 const auto aware_parameters = std::vector<policy_parameter>{
-    {"prefill_rate", 8000, 1, 1e9, "prompt tokens an engine takes in a second"},
-    {"decode_rate", 24, 0.1, 1e6, "tokens a second one stream gets from an idle engine"},
-    {"queue_weight", 1.0, 0, 100, "weight of the expected wait for a place"},
-    {"cache_weight", 1.0, 0, 100, "weight of prompt tokens computed again"},
-    {"waste_weight", 0.3, 0, 100, "weight of prefix copies left on other engines"},
-    {"view_half_life", 4000, 1, 1e9, "age in ms at which a view is half believed"},
-    {"hall_ms", 1.5, 0, 1e6, "time one way between data halls, in ms"},
-    {"service_step", 2048, 1, 1e9, "tokens of service per priority level"},
-    {"crowding", 1.0, 0, 10,
-     "how much longer a token takes on a full engine than on an empty one, as a share"},
-    {"eviction_weight", 0.5, 0, 100, "weight of pushing other programs' prefixes out"},
+    {"prefill_rate", 8000, 1, 1e9, "prefill throughput of an engine, in prompt tokens per second"},
+    {"decode_rate", 24, 0.1, 1e6, "decode rate of a single stream on an idle engine, in tokens per second"},
+    {"queue_weight", 1.0, 0, 100, "weight of the estimated queueing time; dimensionless"},
+    {"cache_weight", 1.0, 0, 100,
+     "weight of the time to prefill prompt tokens that are not cached; dimensionless"},
+    {"waste_weight", 0.3, 0, 100,
+     "weight of the prefill time of prefixes cached on other engines; dimensionless"},
+    {"view_half_life", 4000, 1, 1e9, "half-life of the weight of a load report, in ms"},
+    {"hall_ms", 1.5, 0, 1e6, "one-way network latency between data halls, in ms"},
+    {"service_step", 2048, 1, 1e9,
+     "attained service of the first priority level, in tokens; each further level spans twice as much"},
+    {"crowding", 1.0, 0, 10, "relative increase of the time per token on a full engine over an idle one"},
+    {"eviction_weight", 0.5, 0, 100,
+     "weight of the prefill time of cached tokens evicted by the call; dimensionless"},
 };
 
 }  // namespace
--- a/birchlever/upstream/cold_start_pace.h
+++ b/birchlever/upstream/cold_start_pace.h
@@ -1,7 +1,7 @@
 /// Rate limit for requests to an upstream that has just started, shared by all daemons without communication.
 ///
 /// Time is divided into periods long enough for every daemon to send one request at the allowed rate. A
-/// daemon may send one request per period, within a window at the period's start. Phases differ between
+/// daemon may send one request per period, within one second of the period's start. Phases differ between
 /// daemons and upstreams. The total rate holds during network partitions, and unused windows do not
 /// accumulate.
 #pragma once
@@ -25,7 +25,8 @@
   std::int64_t number_ = 0;
 };
 
-/// Returns the state of the period at a time. `phase`, 0 to 1, differs between daemons and upstreams.
+/// Returns the state of the period that contains `now`, in ms. `phase` (0 to 1, a fraction of the period)
+/// shifts its start and must differ between daemons and upstreams, so that they do not all send at once.
 [[nodiscard]] auto cold_start_window_at(const cold_start_limit& limit, double phase, milliseconds now)
     -> cold_start_window;
 
--- a/birchlever/upstream/prompt_cache.h
+++ b/birchlever/upstream/prompt_cache.h
@@ -14,7 +14,8 @@
   std::int64_t tokens_ = 0;
 };
 
-/// LRU model of the engine's cache.
+/// LRU model of the engine's cache, which evicts in the same order. The number of parts is limited, too, to
+/// bound the memory per engine.
 class prompt_cache {
  public:
   /// Sets the capacity in tokens. Takes effect with the next record_use().
@@ -23,7 +24,8 @@
   /// Records that the engine processed a prompt with these parts.
   auto record_use(const std::vector<prompt_part>& parts) -> void;
 
-  /// Returns the tokens of the longest cached prefix.
+  /// Returns the tokens of the longest cached prefix: a cached part counts only if all parts before it are
+  /// cached.
   [[nodiscard]] auto cached_prefix_tokens(const std::vector<prompt_part>& parts) const -> std::int64_t;
 
   /// Total number of cached tokens.
--- a/birchlever/upstream/upstream_pool.h
+++ b/birchlever/upstream/upstream_pool.h
@@ -1,8 +1,10 @@
 /// Listed upstreams of one service, with sampling of candidates.
 ///
 /// Large pools are sampled, which makes the cost of a selection independent of the pool's size. A sample
-/// contains the upstreams most recently used by this daemon, some in its own data hall and some of the whole
-/// pool.
+/// contains the upstreams most recently used by this daemon, which are likely to have its prompts cached and
+/// connections to it open, some in its own data hall and some of the whole pool. The least loaded upstream of
+/// such a sample is nearly as good as that of the pool. The caller adds the upstream of the previous turn and
+/// the one of the affinity key.
 #pragma once
 
 #include <deque>
