--- a/birchlever/controllers/central_grants.cpp
+++ b/birchlever/controllers/central_grants.cpp
@@ -58,22 +58,22 @@
   if (!ok(parsed)) {
     return failure(parsed);
   }
-  auto made = std::shared_ptr<central_grants>{
+  auto grants = std::shared_ptr<central_grants>{
       new central_grants{loop, settings, std::move(limit_of), std::move(share)}};
   auto code = boost::system::error_code{};
-  made->socket_.open(asio::ip::udp::v4(), code);
+  grants->socket_.open(asio::ip::udp::v4(), code);
   if (!code) {
-    made->socket_.bind({value(parsed).address(), value(parsed).port()}, code);
+    grants->socket_.bind({value(parsed).address(), value(parsed).port()}, code);
   }
   if (!code) {
-    made->socket_.non_blocking(true, code);
+    grants->socket_.non_blocking(true, code);
   }
   if (code) {
     return error{error_code::invalid_setting, "can't bind " + settings.address_ + ": " + code.message()};
   }
-  start(loop, "receive_allotments", made->receive_all());
-  start(loop, "send_debits", made->send_debits());
-  return made;
+  start(loop, "receive_allotments", grants->receive_all());
+  start(loop, "send_debits", grants->send_debits());
+  return grants;
 }
 
 auto central_grants::set_members(member_map members) -> void {
--- a/birchlever/controllers/owner_gateway.cpp
+++ b/birchlever/controllers/owner_gateway.cpp
@@ -52,12 +52,12 @@
 }
 
 auto owner_gateway::envelope() const -> rpc::envelope {
-  auto made = rpc::envelope{};
+  auto header = rpc::envelope{};
   auto keys = split_list(context_->settings_.fleet_keys_);
-  made.fleet_key = keys.empty() ? "" : keys.front();
-  made.sender = context_->instance_id_;
-  made.generation = context_->configuration_->generation();
-  return made;
+  header.fleet_key = keys.empty() ? "" : keys.front();
+  header.sender = context_->instance_id_;
+  header.generation = context_->configuration_->generation();
+  return header;
 }
 
 auto owner_gateway::record_generation(std::int64_t generation) -> void {
--- a/birchlever/controllers/peer_exchange.cpp
+++ b/birchlever/controllers/peer_exchange.cpp
@@ -35,23 +35,23 @@
   if (!ok(parsed)) {
     return failure(parsed);
   }
-  auto made =
+  auto exchange =
       std::shared_ptr<peer_exchange>{new peer_exchange{loop, std::move(rows), settings, std::move(describe)}};
   auto code = boost::system::error_code{};
-  made->socket_.open(asio::ip::udp::v4(), code);
+  exchange->socket_.open(asio::ip::udp::v4(), code);
   if (!code) {
-    made->socket_.bind({value(parsed).address(), value(parsed).port()}, code);
+    exchange->socket_.bind({value(parsed).address(), value(parsed).port()}, code);
   }
   if (!code) {
-    made->socket_.non_blocking(true, code);
+    exchange->socket_.non_blocking(true, code);
   }
   if (code) {
     return error{error_code::invalid_setting, "can't bind " + settings.address_ + ": " + code.message()};
   }
-  start(loop, "peer_send", made->send_all());
-  start(loop, "peer_receive", made->receive_all());
-  start(loop, "peer_list", made->follow_list());
-  return made;
+  start(loop, "peer_send", exchange->send_all());
+  start(loop, "peer_receive", exchange->receive_all());
+  start(loop, "peer_list", exchange->follow_list());
+  return exchange;
 }
 
 auto peer_exchange::send(const peer_state& state, int max_receivers) -> void {
--- a/birchlever/controllers/shard_controller.cpp
+++ b/birchlever/controllers/shard_controller.cpp
@@ -254,12 +254,12 @@
 
 auto shard_controller::recovered(const recovered_message& message) -> void {
   auto settings = ledger_settings_of(context_->settings_);
-  auto made = program_ledger::create(settings, message.epoch_);
-  if (!ok(made)) {
-    log_failure(log_level::error, "ledger_creation_failed", failure(made));
+  auto created = program_ledger::create(settings, message.epoch_);
+  if (!ok(created)) {
+    log_failure(log_level::error, "ledger_creation_failed", failure(created));
     return;
   }
-  ledger_.emplace(std::move(value(made)));
+  ledger_.emplace(std::move(value(created)));
   auto loaded = ledger_->recover(message.recovery_, context_->clock_->now());
   if (!ok(loaded)) {
     log_failure(log_level::error, "recovery_failed", failure(loaded));
--- a/birchlever/controllers/shard_placement.cpp
+++ b/birchlever/controllers/shard_placement.cpp
@@ -59,18 +59,18 @@
     return failure(choice);
   }
   auto& chosen = value(choice);
-  auto made = placed_call{};
-  made.ticket_.upstream_ = chosen.upstream_.id_;
-  made.ticket_.address_ = chosen.upstream_.address_;
-  made.ticket_.priority_ = chosen.priority_;
-  made.ticket_.send_within_ = context.settings_.send_within_ms_;
-  made.ticket_.policy_ = owner.policy_;
+  auto placed = placed_call{};
+  placed.ticket_.upstream_ = chosen.upstream_.id_;
+  placed.ticket_.address_ = chosen.upstream_.address_;
+  placed.ticket_.priority_ = chosen.priority_;
+  placed.ticket_.send_within_ = context.settings_.send_within_ms_;
+  placed.ticket_.policy_ = owner.policy_;
   if (request.service_.empty()) {
     evaluate_shadows(context, criteria, chosen.upstream_.id_, now);
     context.upstreams_->record_sent(chosen.upstream_.id_, request.prefix_hashes_, now);
   }
-  made.choice_ = std::move(chosen);
-  return made;
+  placed.choice_ = std::move(chosen);
+  return placed;
 }
 
 auto explain(const std::string& policy, const placement_result& choice) -> std::string {
@@ -110,15 +110,15 @@
 }
 
 auto ledger_settings_of(const daemon_settings& settings) -> ledger_settings {
-  auto made = ledger_settings{};
-  made.budget_slice_ = settings.budget_slice_;
-  made.default_budget_ = settings.default_budget_;
-  made.turn_limit_ = static_cast<int>(settings.turn_limit_);
-  made.loop_limit_ = static_cast<int>(settings.loop_limit_);
-  made.idle_limit_ = settings.idle_limit_ms_;
-  made.ended_retention_ = settings.ended_retention_ms_;
-  made.call_limit_ = settings.call_limit_ms_;
-  return made;
+  auto converted = ledger_settings{};
+  converted.budget_slice_ = settings.budget_slice_;
+  converted.default_budget_ = settings.default_budget_;
+  converted.turn_limit_ = static_cast<int>(settings.turn_limit_);
+  converted.loop_limit_ = static_cast<int>(settings.loop_limit_);
+  converted.idle_limit_ = settings.idle_limit_ms_;
+  converted.ended_retention_ = settings.ended_retention_ms_;
+  converted.call_limit_ = settings.call_limit_ms_;
+  return converted;
 }
 
 }  // namespace birchlever
--- a/birchlever/controllers/shard_writer.cpp
+++ b/birchlever/controllers/shard_writer.cpp
@@ -26,10 +26,10 @@
   settings.margin_ = context_->settings_.lease_margin_ms_;
   settings.renew_interval_ = context_->settings_.lease_renew_ms_;
   settings.rank_step_ = std::max<milliseconds>(50, context_->settings_.lease_margin_ms_ / 2);
-  auto made = lease::create(settings, shard_, context_->instance_id_, context_->peer_address_,
-                            context_->store_, context_->clock_);
-  if (ok(made)) {
-    lease_.emplace(std::move(value(made)));
+  auto created = lease::create(settings, shard_, context_->instance_id_, context_->peer_address_,
+                               context_->store_, context_->clock_);
+  if (ok(created)) {
+    lease_.emplace(std::move(value(created)));
   }
 }
 
@@ -102,8 +102,8 @@
   if (!ok(acquired)) {
     return;
   }
-  auto made = journal::create(journal_settings{}, shard_, lease_->fence_version(), context_->store_);
-  journal_.emplace(std::move(value(made)));
+  auto created = journal::create(journal_settings{}, shard_, lease_->fence_version(), context_->store_);
+  journal_.emplace(std::move(value(created)));
   auto found = journal_->recover();
   while (!ok(found) && lease_->held()) {
     log_failure(log_level::warning, "recovery_retry", failure(found));
--- a/birchlever/controllers/table_follower.cpp
+++ b/birchlever/controllers/table_follower.cpp
@@ -18,10 +18,10 @@
 auto table_follower::create(event_loop& loop, std::shared_ptr<row_store_interface> rows,
                             const table_follower_settings& settings, table_follower_events events)
     -> std::shared_ptr<table_follower> {
-  auto made =
+  auto follower =
       std::shared_ptr<table_follower>{new table_follower{loop, std::move(rows), settings, std::move(events)}};
-  start(loop, "follow_table", made->follow());
-  return made;
+  start(loop, "follow_table", follower->follow());
+  return follower;
 }
 
 auto table_follower::follow() -> task<> {
--- a/birchlever/controllers/upstream_follower.cpp
+++ b/birchlever/controllers/upstream_follower.cpp
@@ -27,12 +27,12 @@
                                const std::string& table, std::shared_ptr<upstream_directory> directory,
                                decode_function decode, milliseconds expiry_grace,
                                std::shared_ptr<peer_feed> feed) -> std::shared_ptr<upstream_follower> {
-  auto made = std::shared_ptr<upstream_follower>{
+  auto follower = std::shared_ptr<upstream_follower>{
       new upstream_follower{loop, std::move(directory), std::move(decode), expiry_grace}};
   auto settings = table_follower_settings{};
   settings.table_ = table;
   settings.max_scan_rows_ = feed ? max_scan_rows : 0;
-  auto* raw = made.get();  // Not owning: the table follower is a member of `made`.
+  auto* raw = follower.get();  // Not owning: the table follower is a member of `follower`.
   auto events = table_follower_events{};
   events.scan_started_ = [raw, feed] {
     raw->scanned_.clear();
@@ -58,8 +58,8 @@
     };
   }
   events.changes_ = [raw](const auto& changed) { raw->apply_changes(changed); };
-  made->follower_ = table_follower::create(loop, std::move(rows), settings, std::move(events));
-  return made;
+  follower->follower_ = table_follower::create(loop, std::move(rows), settings, std::move(events));
+  return follower;
 }
 
 auto upstream_follower::put(const stored_row& row, bool announced) -> void {
--- a/birchlever/core/daemon_settings.cpp
+++ b/birchlever/core/daemon_settings.cpp
@@ -36,8 +36,8 @@
 
 auto name_list_or_empty(const std::string& text) -> const char* {
   for (const auto& entry : split_list(text)) {
-    if (const auto* fault = name(entry)) {
-      return fault;
+    if (const auto* reason = name(entry)) {
+      return reason;
     }
   }
   return nullptr;
@@ -64,59 +64,59 @@
   return known ? nullptr : "is not debug, info, warning or error";
 }
 
-auto check_number(std::vector<setting_error>& faults, const char* name, std::int64_t value, std::int64_t min,
+auto check_number(std::vector<setting_error>& errors, const char* name, std::int64_t value, std::int64_t min,
                   std::int64_t max, const char* unit) -> void {
   if (value < min || value > max) {
-    faults.push_back({name, std::to_string(value),
+    errors.push_back({name, std::to_string(value),
                       "must be from " + std::to_string(min) + " to " + std::to_string(max) + " " + unit});
   }
 }
 
-auto check_text(std::vector<setting_error>& faults, const char* name, const std::string& value,
+auto check_text(std::vector<setting_error>& errors, const char* name, const std::string& value,
                 text_check format) -> void {
-  if (const auto* fault = format(value)) {
-    faults.push_back({name, value, fault});
+  if (const auto* reason = format(value)) {
+    errors.push_back({name, value, reason});
   }
 }
 
-auto check_secret(std::vector<setting_error>& faults, const char* name, const std::string& value) -> void {
+auto check_secret(std::vector<setting_error>& errors, const char* name, const std::string& value) -> void {
   if (split_list(value).empty()) {
-    faults.push_back({name, "(hidden)", "must contain at least one key"});
+    errors.push_back({name, "(hidden)", "must contain at least one key"});
   }
 }
 
-auto check_relations(std::vector<setting_error>& faults, const daemon_settings& settings) -> void {
+auto check_relations(std::vector<setting_error>& errors, const daemon_settings& settings) -> void {
   if (settings.lease_ms_ <= settings.lease_margin_ms_ + settings.lease_renew_ms_) {
-    faults.push_back({"lease_ms", std::to_string(settings.lease_ms_),
+    errors.push_back({"lease_ms", std::to_string(settings.lease_ms_),
                       "must exceed the sum of lease_margin_ms and lease_renew_ms"});
   }
   if (settings.configuration_bound_ms_ <= settings.poll_ms_) {
-    faults.push_back(
+    errors.push_back(
         {"configuration_bound_ms", std::to_string(settings.configuration_bound_ms_), "must exceed poll_ms"});
   }
   if (settings.http_port_ == settings.peer_port_) {
-    faults.push_back({"peer_port", std::to_string(settings.peer_port_), "must differ from http_port"});
+    errors.push_back({"peer_port", std::to_string(settings.peer_port_), "must differ from http_port"});
   }
   if (!settings.test_without_.empty() && settings.test_controls_ == 0) {
-    faults.push_back({"test_without", settings.test_without_, "needs test_controls"});
+    errors.push_back({"test_without", settings.test_without_, "needs test_controls"});
   }
 }
 
 }  // namespace
 
 auto check_settings(const daemon_settings& settings) -> std::vector<setting_error> {
-  auto faults = std::vector<setting_error>{};
+  auto errors = std::vector<setting_error>{};
 #define NUMBER_SETTING(name, default_value, min, max, unit, description) \
-  check_number(faults, #name, settings.name##_, min, max, unit);
+  check_number(errors, #name, settings.name##_, min, max, unit);
 #define TEXT_SETTING(name, default_value, format, description) \
-  check_text(faults, #name, settings.name##_, format);
-#define SECRET_SETTING(name, description) check_secret(faults, #name, settings.name##_);
+  check_text(errors, #name, settings.name##_, format);
+#define SECRET_SETTING(name, description) check_secret(errors, #name, settings.name##_);
 #include "birchlever/core/settings.def"
 #undef NUMBER_SETTING
 #undef TEXT_SETTING
 #undef SECRET_SETTING
-  check_relations(faults, settings);
-  return faults;
+  check_relations(errors, settings);
+  return errors;
 }
 
 auto describe_settings() -> std::string {
--- a/birchlever/gateway/gateway_settings.cpp
+++ b/birchlever/gateway/gateway_settings.cpp
@@ -9,53 +9,53 @@
 namespace birchlever {
 namespace {
 
-auto check_address(std::vector<setting_error>& faults, const char* name, const std::string& text,
+auto check_address(std::vector<setting_error>& errors, const char* name, const std::string& text,
                    bool may_be_empty) -> void {
   if (text.empty() && may_be_empty) {
     return;
   }
   auto parsed = parse_address(text);
   if (!ok(parsed)) {
-    faults.push_back({name, text, "is not an address of the form ip:port"});
+    errors.push_back({name, text, "is not an address of the form ip:port"});
   }
 }
 
-auto check_policy_text(std::vector<setting_error>& faults, const char* name, const std::string& text)
+auto check_policy_text(std::vector<setting_error>& errors, const char* name, const std::string& text)
     -> void {
   auto parsed = parse_policy(text);
   if (!ok(parsed)) {
-    faults.push_back({name, text, failure(parsed).detail_});
+    errors.push_back({name, text, failure(parsed).detail_});
   }
 }
 
-auto check_level(std::vector<setting_error>& faults, const std::string& level) -> void {
+auto check_level(std::vector<setting_error>& errors, const std::string& level) -> void {
   if (level != "debug" && level != "info" && level != "warning" && level != "error") {
-    faults.push_back({"log_level", level, "must be debug, info, warning or error"});
+    errors.push_back({"log_level", level, "must be debug, info, warning or error"});
   }
 }
 
-auto check_allotments(std::vector<setting_error>& faults, const std::string& text) -> void {
+auto check_allotments(std::vector<setting_error>& errors, const std::string& text) -> void {
   if (text != "central" && text != "equal" && text != "off") {
-    faults.push_back({"allotments", text, "must be central, equal or off"});
+    errors.push_back({"allotments", text, "must be central, equal or off"});
   }
 }
 
-auto check_hall_regions(std::vector<setting_error>& faults, const std::string& text) -> void {
+auto check_hall_regions(std::vector<setting_error>& errors, const std::string& text) -> void {
   auto parsed = hall_regions::parse(text);
   if (!ok(parsed)) {
-    faults.push_back({"hall_regions", text, failure(parsed).detail_});
+    errors.push_back({"hall_regions", text, failure(parsed).detail_});
   }
 }
 
 template <class Number>
-auto check_range(std::vector<setting_error>& faults, const char* name, Number actual, Number min, Number max,
+auto check_range(std::vector<setting_error>& errors, const char* name, Number actual, Number min, Number max,
                  const char* unit) -> void {
   if (actual >= min && actual <= max) {
     return;
   }
   auto reason = std::ostringstream{};
   reason << "must be from " << min << " to " << max << ' ' << unit;
-  faults.push_back({name, std::to_string(actual), reason.str()});
+  errors.push_back({name, std::to_string(actual), reason.str()});
 }
 
 }  // namespace
@@ -88,29 +88,29 @@
 }
 
 auto check_settings(const gateway_settings& settings) -> std::vector<setting_error> {
-  auto faults = std::vector<setting_error>{};
+  auto errors = std::vector<setting_error>{};
   if (settings.data_hall_.empty()) {
-    faults.push_back({"data_hall", "", "is required"});
+    errors.push_back({"data_hall", "", "is required"});
   }
-  check_level(faults, settings.log_level_);
-  check_address(faults, "store_address", settings.store_address_, false);
-  check_address(faults, "caller_address", settings.caller_address_, false);
-  check_address(faults, "readiness_address", settings.readiness_address_, false);
-  check_address(faults, "control_address", settings.control_address_, true);
-  check_policy_text(faults, "engine_policy", settings.engine_policy_);
-  check_policy_text(faults, "service_policy", settings.service_policy_);
-  check_allotments(faults, settings.allotments_);
-  check_hall_regions(faults, settings.hall_regions_);
+  check_level(errors, settings.log_level_);
+  check_address(errors, "store_address", settings.store_address_, false);
+  check_address(errors, "caller_address", settings.caller_address_, false);
+  check_address(errors, "readiness_address", settings.readiness_address_, false);
+  check_address(errors, "control_address", settings.control_address_, true);
+  check_policy_text(errors, "engine_policy", settings.engine_policy_);
+  check_policy_text(errors, "service_policy", settings.service_policy_);
+  check_allotments(errors, settings.allotments_);
+  check_hall_regions(errors, settings.hall_regions_);
 #define TEXT_SETTING(name, default_value, description)
 #define REAL_SETTING(name, default_value, min, max, unit, description) \
-  check_range<double>(faults, #name, settings.name##_, min, max, unit);
+  check_range<double>(errors, #name, settings.name##_, min, max, unit);
 #define NUMBER_SETTING(name, default_value, min, max, unit, description) \
-  check_range<std::int64_t>(faults, #name, settings.name##_, min, max, unit);
+  check_range<std::int64_t>(errors, #name, settings.name##_, min, max, unit);
 #include "birchlever/gateway/gateway_settings.def"
 #undef TEXT_SETTING
 #undef REAL_SETTING
 #undef NUMBER_SETTING
-  return faults;
+  return errors;
 }
 
 auto describe_gateway_settings() -> std::string {
--- a/birchlever/policy/policy_registry.cpp
+++ b/birchlever/policy/policy_registry.cpp
@@ -6,15 +6,15 @@
 
 auto policy_registry::load(const std::map<std::string, policy_settings>& policies,
                            const std::vector<std::string>& shadows) -> void {
-  auto made = std::map<std::string, std::shared_ptr<const policy_interface>>{};
+  auto loaded = std::map<std::string, std::shared_ptr<const policy_interface>>{};
   for (const auto& [name, settings] : policies) {
     auto policy = make_policy(settings);
     if (ok(policy)) {
-      made[name] = std::move(value(policy));
+      loaded[name] = std::move(value(policy));
     }
   }
   auto lock = std::lock_guard{mutex_};
-  policies_ = std::move(made);
+  policies_ = std::move(loaded);
   shadows_ = shadows;
 }
 
--- a/birchlever/upstream/upstream_exchange.cpp
+++ b/birchlever/upstream/upstream_exchange.cpp
@@ -13,11 +13,11 @@
 
 auto upstream_exchange::start(std::shared_ptr<http_connection_pool> pool, upstream_request request)
     -> std::unique_ptr<upstream_exchange> {
-  auto made = std::unique_ptr<upstream_exchange>{new upstream_exchange{}};
-  auto* self = made.get();
-  made->thread_ =
+  auto exchange = std::unique_ptr<upstream_exchange>{new upstream_exchange{}};
+  auto* self = exchange.get();
+  exchange->thread_ =
       std::thread{[self, pool = std::move(pool), request = std::move(request)] { self->run(pool, request); }};
-  return made;
+  return exchange;
 }
 
 upstream_exchange::~upstream_exchange() {
--- a/unit_tests/accounts/account_registry_test.cpp
+++ b/unit_tests/accounts/account_registry_test.cpp
@@ -9,26 +9,27 @@
 namespace {
 
 auto account(const std::string& name, const std::vector<std::string>& keys) -> client_account {
-  auto made = client_account{};
-  made.name_ = name;
+  auto created = client_account{};
+  created.name_ = name;
   for (const auto& key : keys) {
-    made.key_digests_.push_back(sha256_hex(key));
+    created.key_digests_.push_back(sha256_hex(key));
   }
-  return made;
+  return created;
 }
 
 auto refusal_of(std::vector<client_account> accounts) -> error {
-  auto made = account_registry::create(std::move(accounts));
-  REQUIRE(!ok(made));
-  return failure(made);
+  auto created = account_registry::create(std::move(accounts));
+  REQUIRE(!ok(created));
+  return failure(created);
 }
 
 }  // namespace
 
-TEST_CASE("An account is found by each of its key digests and by its name only") {
-  auto made = account_registry::create({account("notary", {"key-1", "key-2"}), account("survey", {"key-3"})});
-  REQUIRE(ok(made));
-  const auto& registry = *value(made);
+TEST_CASE("an account is found by each of its key digests and by its name only") {
+  auto created =
+      account_registry::create({account("notary", {"key-1", "key-2"}), account("survey", {"key-3"})});
+  REQUIRE(ok(created));
+  const auto& registry = *value(created);
   CHECK(registry.find_by_key_digest(sha256_hex("key-2"))->name_ == "notary");
   CHECK(registry.find_by_key_digest(sha256_hex("key-3"))->name_ == "survey");
   CHECK(registry.find_by_key_digest(sha256_hex("key-4")) == nullptr);
@@ -38,7 +39,7 @@
   CHECK(registry.find("nobody") == nullptr);
 }
 
-TEST_CASE("Unnamed and duplicate accounts, negative limits and shared keys are rejected") {
+TEST_CASE("unnamed and duplicate accounts, negative limits and shared keys are rejected") {
   CHECK(refusal_of({account("", {"key-1"})}).code_ == error_code::invalid_account);
   CHECK(refusal_of({account("a", {}), account("a", {})}).code_ == error_code::invalid_account);
   auto negative = account("a", {"key-1"});
@@ -53,11 +54,11 @@
   CHECK(shared.detail_.find(abbreviated_digest(sha256_hex("secret-key"))) != std::string::npos);
 }
 
-TEST_CASE("An account may list the same key twice") {
+TEST_CASE("an account may list the same key twice") {
   CHECK(ok(account_registry::create({account("a", {"key-1", "key-1"})})));
 }
 
-TEST_CASE("An allotment permits its rate over a period plus one burst, and a zero rate is unlimited") {
+TEST_CASE("an allotment permits its rate over a period plus one burst, and a zero rate is unlimited") {
   CHECK(account_allotment{10, 5}.max_requests_in(5) == Approx(55));
   CHECK(account_allotment{10, 0}.limited());
   CHECK(!account_allotment{0, 50}.limited());
--- a/unit_tests/accounts/account_usage_test.cpp
+++ b/unit_tests/accounts/account_usage_test.cpp
@@ -8,7 +8,7 @@
 
 namespace birchlever {
 
-TEST_CASE("Accounts with the most requests are listed by name and all others as a sum") {
+TEST_CASE("accounts with the most requests are listed by name and all others as a sum") {
   auto usage = account_usage{};
   for (auto number = 0; number < 1200; ++number) {
     for (auto request = 0; request <= number; ++request) {
@@ -30,7 +30,7 @@
   CHECK(text.find("secret-1") == std::string::npos);
 }
 
-TEST_CASE("No metrics are printed without accounts") {
+TEST_CASE("no metrics are printed without accounts") {
   CHECK(account_usage{}.to_prometheus(nullptr, 3).empty());
 }
 
--- a/unit_tests/accounts/allotment_test.cpp
+++ b/unit_tests/accounts/allotment_test.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-TEST_CASE("A bucket never grants more than the rate over a period plus the burst") {
+TEST_CASE("a bucket never grants more than the rate over a period plus the burst") {
   auto bucket = allotment_bucket{};
   auto granted_at = std::vector<milliseconds>{};
   for (auto now = milliseconds{0}; now < 20000; now += 7) {
@@ -40,7 +40,7 @@
   CHECK(granted_at.size() > 190);  // The allotment is used up.
 }
 
-TEST_CASE("A new bucket starts nearly empty") {
+TEST_CASE("a new bucket starts nearly empty") {
   auto bucket = allotment_bucket{};
   auto at_once = 0;
   while (bucket.claim(claim(later_request), 1, 1000).wait_ == 0) {
@@ -49,7 +49,7 @@
   CHECK(at_once <= 3);
 }
 
-TEST_CASE("Requests of started programs are delayed up to a limit and then refused") {
+TEST_CASE("requests of started programs are delayed up to a limit and then refused") {
   auto bucket = allotment_bucket{};
   auto waits = std::vector<milliseconds>{};
   auto decision = bucket.claim(claim(later_request), 1, 0);
@@ -63,7 +63,7 @@
   CHECK(decision.retry_after_ >= 250);
 }
 
-TEST_CASE("Programs are admitted only while the allotment covers their expected requests") {
+TEST_CASE("programs are admitted only while the allotment covers their expected requests") {
   auto bucket = allotment_bucket{};
   bucket.claim(claim(later_request), 1, 0);
   auto now = milliseconds{2000};  // The bucket is full.
@@ -77,7 +77,7 @@
   CHECK(bucket.claim(claim(first_request), 1, now + 5000).granted_);  // The commitments have decayed.
 }
 
-TEST_CASE("Started programs may overdraw once, and the overdraft is deducted from later refills") {
+TEST_CASE("started programs may overdraw once, and the overdraft is deducted from later refills") {
   auto settings = allotment_bucket_settings{};
   settings.overdraft_ = 5;
   auto bucket = allotment_bucket{settings};
@@ -93,7 +93,7 @@
   CHECK(!bucket.claim(claim(first_request), 1, 300).granted_);
 }
 
-TEST_CASE("A bucket grants the given share of the allotment") {
+TEST_CASE("a bucket grants the given share of the allotment") {
   auto bucket = allotment_bucket{};
   auto granted = 0;
   for (auto now = milliseconds{0}; now < 20000; now += 10) {
@@ -103,7 +103,7 @@
   CHECK(granted <= 108);
 }
 
-TEST_CASE("Requests granted by a backup grantor are deducted") {
+TEST_CASE("requests granted by a backup grantor are deducted") {
   auto bucket = allotment_bucket{};
   bucket.claim(claim(later_request), 1, 0);
   bucket.debit(8);
@@ -112,7 +112,7 @@
   CHECK(!bucket.claim(claim(later_request), 1, 10).granted_);
 }
 
-TEST_CASE("Equal shares add up to the allotment and reserve a part for started programs") {
+TEST_CASE("equal shares add up to the allotment and reserve a part for started programs") {
   auto clock = std::make_shared<manual_clock>();
   clock->advance(100000);
   auto shares = equal_shares{{}, [] { return std::int64_t{6}; }, clock};
@@ -130,7 +130,7 @@
   CHECK(shares.decide(claim(first_request)).granted_);
 }
 
-TEST_CASE("All daemons compute the same order and skip unresponsive daemons temporarily") {
+TEST_CASE("all daemons compute the same order and skip unresponsive daemons temporarily") {
   auto order_of = [](const std::string& vm, std::vector<std::string> others) {
     auto order = grantor_order{grantor_order_settings{vm}};
     order.set_members(std::move(others));
@@ -156,7 +156,7 @@
   }
 }
 
-TEST_CASE("Accounts are distributed evenly over daemons") {
+TEST_CASE("accounts are distributed evenly over daemons") {
   auto order = grantor_order{grantor_order_settings{"vm-0"}};
   order.set_members({"vm-1", "vm-2", "vm-3"});
   auto granted_by = std::map<std::string, int>{};
@@ -169,7 +169,7 @@
   }
 }
 
-TEST_CASE("Each side of a partition grants the share of its daemons") {
+TEST_CASE("each side of a partition grants the share of its daemons") {
   CHECK(reachable_share({66, 66, 1200, 5000, 200, 16}) == 1);
   CHECK(reachable_share({66, 52, 1200, 5000, 200, 16}) == 1);  // Within random variation.
   auto larger_side = reachable_share({66, 33, 1200, 5000, 200, 16});
@@ -181,7 +181,7 @@
   CHECK(reachable_share({0, 0, 1200, 5000, 200, 16}) == 1);
 }
 
-TEST_CASE("The mean program size follows the traffic and is at least one request") {
+TEST_CASE("the mean program size follows the traffic and is at least one request") {
   auto sizes = program_size_estimate{};
   auto now = milliseconds{1};
   for (auto program = 0; program < 400; ++program) {
--- a/unit_tests/controllers/central_grants_test.cpp
+++ b/unit_tests/controllers/central_grants_test.cpp
@@ -41,12 +41,12 @@
     auto limit_of = [this](const std::string& account) {
       return account == "unlimited" ? std::nullopt : std::optional{limit_};
     };
-    auto made = central_grants::create(loop_, settings, limit_of, [] { return 1.0; });
-    REQUIRE(ok(made));
+    auto created = central_grants::create(loop_, settings, limit_of, [] { return 1.0; });
+    REQUIRE(ok(created));
     auto others = addresses_;
     others.erase(vm(index));
-    value(made)->set_members(std::move(others));
-    daemons_.push_back(value(made));
+    value(created)->set_members(std::move(others));
+    daemons_.push_back(value(created));
   }
 
   auto claim(int index, const std::string& account = "a") -> allotment_decision {
@@ -140,13 +140,13 @@
   settings.vm_ = "vm-0";
   settings.address_ = address.address().to_string() + ":" + std::to_string(address.port());
   auto limit = account_allotment{100, 100};
-  auto made = central_grants::create(
+  auto created = central_grants::create(
       loop, settings, [limit](const std::string&) { return std::optional{limit}; }, [] { return 1.0; });
-  REQUIRE(ok(made));
+  REQUIRE(ok(created));
   auto granted = 0;
   for (auto number = 0; number < 20; ++number) {
     auto requested = allotment_claim{"a", limit, false, 1, 0};
-    granted += run_to_end(loop, value(made)->claim(std::move(requested))).granted_ ? 1 : 0;
+    granted += run_to_end(loop, value(created)->claim(std::move(requested))).granted_ ? 1 : 0;
   }
   CHECK(granted == 1);  // 600 in five seconds over 350 daemons.
 }
@@ -157,10 +157,10 @@
   settings.vm_ = "vm-9";
   const auto& used = fleet.addresses_[vm(0)];
   settings.address_ = used.address().to_string() + ":" + std::to_string(used.port());
-  auto made = central_grants::create(
+  auto created = central_grants::create(
       fleet.loop_, settings, [](const std::string&) { return std::nullopt; }, [] { return 1.0; });
-  REQUIRE(!ok(made));
-  CHECK(failure(made).code_ == error_code::invalid_setting);
+  REQUIRE(!ok(created));
+  CHECK(failure(created).code_ == error_code::invalid_setting);
 }
 
 }  // namespace birchlever
--- a/unit_tests/coordination/lease_test.cpp
+++ b/unit_tests/coordination/lease_test.cpp
@@ -85,9 +85,9 @@
 TEST_CASE("unsafe lease settings are rejected") {
   auto settings = lease_settings{};
   settings.duration_ = settings.margin_ + settings.renew_interval_;
-  auto made = lease::create(settings, 0, "a", "", nullptr, nullptr);
-  REQUIRE(!ok(made));
-  CHECK(failure(made).code_ == error_code::invalid_setting);
+  auto created = lease::create(settings, 0, "a", "", nullptr, nullptr);
+  REQUIRE(!ok(created));
+  CHECK(failure(created).code_ == error_code::invalid_setting);
 }
 
 }  // namespace birchlever
--- a/unit_tests/coordination/program_ledger_test.cpp
+++ b/unit_tests/coordination/program_ledger_test.cpp
@@ -45,15 +45,15 @@
   }
 
   auto report(const call_request& order, const call_ticket& ticket, call_outcome outcome) -> call_settlement {
-    auto made = call_settlement{order.account_, order.program_,   order.number_,
-                                ticket.epoch_,  ticket.sequence_, outcome};
-    made.tokens_ = 40;
-    made.max_tokens_ = ticket.max_tokens_;
-    made.digest_ = order.digest_;
-    made.repeatable_ = order.repeatable_;
-    made.answer_ = "answer " + std::to_string(order.number_);
-    made.upstream_ = "engine-1";
-    return made;
+    auto settlement = call_settlement{order.account_, order.program_,   order.number_,
+                                      ticket.epoch_,  ticket.sequence_, outcome};
+    settlement.tokens_ = 40;
+    settlement.max_tokens_ = ticket.max_tokens_;
+    settlement.digest_ = order.digest_;
+    settlement.repeatable_ = order.repeatable_;
+    settlement.answer_ = "answer " + std::to_string(order.number_);
+    settlement.upstream_ = "engine-1";
+    return settlement;
   }
 
   auto answer(const call_request& order, const call_ticket& ticket) -> void {
--- a/unit_tests/core/core_test.cpp
+++ b/unit_tests/core/core_test.cpp
@@ -31,10 +31,10 @@
   settings.fleet_keys_ = ",";
   settings.store_address_ = "127.0.0.1:x";
   settings.test_without_ = "call_order";
-  auto faults = check_settings(settings);
-  CHECK(faults.size() == 6);
-  for (const auto& fault : faults) {
-    CHECK((fault.name_ != "fleet_keys" || fault.value_ == "(hidden)"));
+  auto errors = check_settings(settings);
+  CHECK(errors.size() == 6);
+  for (const auto& invalid : errors) {
+    CHECK((invalid.name_ != "fleet_keys" || invalid.value_ == "(hidden)"));
   }
 }
 
--- a/unit_tests/gateway/gateway_settings_test.cpp
+++ b/unit_tests/gateway/gateway_settings_test.cpp
@@ -8,10 +8,10 @@
   auto settings = gateway_settings{};
   settings.stop_grace_s_ = 0;
   settings.engine_policy_ = "program_aware speed=3";
-  auto faults = check_settings(settings);
+  auto errors = check_settings(settings);
   auto names = std::vector<std::string>{};
-  for (const auto& fault : faults) {
-    names.push_back(fault.name_);
+  for (const auto& invalid : errors) {
+    names.push_back(invalid.name_);
   }
   REQUIRE(names == std::vector<std::string>{"data_hall", "store_address", "caller_address",
                                             "readiness_address", "engine_policy", "stop_grace_s"});
--- a/unit_tests/gateway/gateway_test.cpp
+++ b/unit_tests/gateway/gateway_test.cpp
@@ -297,9 +297,9 @@
 
 TEST_CASE("pipelined requests are answered in order") {
   auto fixture = gateway_fixture{};
-  auto one = std::string{"GET /safe/a HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r1\r\n\r\n"};
-  auto two = std::string{"GET /safe/b HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r2\r\n\r\n"};
-  auto answers = fixture.send_bytes(one + two);
+  auto first = std::string{"GET /safe/a HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r1\r\n\r\n"};
+  auto second = std::string{"GET /safe/b HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r2\r\n\r\n"};
+  auto answers = fixture.send_bytes(first + second);
   REQUIRE(answers.find("answer to r1") < answers.find("answer to r2"));
   REQUIRE(answers.find("answer to r2") != std::string::npos);
 }
--- a/unit_tests/policy/policy_test.cpp
+++ b/unit_tests/policy/policy_test.cpp
@@ -7,35 +7,35 @@
 namespace {
 
 auto engines() -> std::vector<engine_view> {
-  auto made = std::vector<engine_view>(3);
+  auto engines = std::vector<engine_view>(3);
   for (auto index = 0; index < 3; ++index) {
-    auto& engine = made[static_cast<std::size_t>(index)];
+    auto& engine = engines[static_cast<std::size_t>(index)];
     engine.id_ = "engine-" + std::to_string(index);
     engine.capacity_ = 8;
     engine.cache_capacity_ = 100000;
     engine.running_ = 2;
   }
-  return made;
+  return engines;
 }
 
 auto call() -> call_view {
-  auto made = call_view{};
-  made.prompt_tokens_ = 8000;
-  made.max_tokens_ = 100;
-  made.cached_tokens_ = {0, 0, 0};
-  return made;
+  auto view = call_view{};
+  view.prompt_tokens_ = 8000;
+  view.max_tokens_ = 100;
+  view.cached_tokens_ = {0, 0, 0};
+  return view;
 }
 
 auto chosen(policy_kind kind, const call_view& view, const std::vector<engine_view>& list) -> std::size_t {
   auto policy = value(make_policy({kind, {}}));
-  auto made = policy->choose(view, list);
-  REQUIRE(ok(made));
-  return value(made).engine_;
+  auto choice = policy->choose(view, list);
+  REQUIRE(ok(choice));
+  return value(choice).engine_;
 }
 
 }  // namespace
 
-TEST_CASE("Every policy is deterministic and refuses calls without a usable engine") {
+TEST_CASE("every policy is deterministic and refuses calls without a usable engine") {
   for (auto kind : {policy_kind::round_robin, policy_kind::least_loaded, policy_kind::prefix_affinity,
                     policy_kind::least_attained_service, policy_kind::program_aware}) {
     CHECK(chosen(kind, call(), engines()) == chosen(kind, call(), engines()));
@@ -49,7 +49,7 @@
   }
 }
 
-TEST_CASE("The program-aware policy prefers the engine with the cached prefix unless it is overloaded") {
+TEST_CASE("the program-aware policy prefers the engine with the cached prefix unless it is overloaded") {
   auto view = call();
   view.cached_tokens_ = {0, 7500, 0};
   auto list = engines();
@@ -58,7 +58,7 @@
   CHECK(chosen(policy_kind::program_aware, view, list) != 1);
 }
 
-TEST_CASE("Calls sent since an outdated load report outweigh the report") {
+TEST_CASE("calls sent since an outdated load report outweigh the report") {
   auto list = engines();
   list[0].running_ = 0;
   list[0].report_age_ms_ = 60000;
@@ -66,13 +66,13 @@
   CHECK(chosen(policy_kind::program_aware, call(), list) != 0);
 }
 
-TEST_CASE("Parameters are checked by name and range") {
+TEST_CASE("parameters are checked by name and range") {
   CHECK(!ok(check_policy({policy_kind::program_aware, {{"cache_weight", 1000}}})));
   CHECK(!ok(check_policy({policy_kind::round_robin, {{"cache_weight", 1}}})));
   CHECK(ok(check_policy({policy_kind::program_aware, {{"cache_weight", 2}}})));
 }
 
-TEST_CASE("An idle connection offsets a limited amount of load, and only if configured") {
+TEST_CASE("an idle connection offsets a limited amount of load, and only if configured") {
   auto list = engines();
   list[1].connected_ = true;
   list[1].running_ = 3;
@@ -84,12 +84,12 @@
   CHECK(value(policy->choose(view, list)).engine_ != 1);
 }
 
-TEST_CASE("The upstream table excludes leaving, drained and failing upstreams unless none is left") {
+TEST_CASE("the upstream table excludes leaving, drained and failing upstreams unless none is left") {
   auto table = upstream_table{};
   auto entry = [](const std::string& id) {
-    auto made = vm_entry{id, vm_kind::engine, {"127.0.0.1", 1}, "a"};
-    made.models_ = {"standard"};
-    return made;
+    auto upstream = vm_entry{id, vm_kind::engine, {"127.0.0.1", 1}, "a"};
+    upstream.models_ = {"standard"};
+    return upstream;
   };
   auto list = std::vector{entry("one"), entry("two")};
   auto policy = value(make_policy({policy_kind::least_loaded, {}}));
--- a/unit_tests/upstream/local_link_test.cpp
+++ b/unit_tests/upstream/local_link_test.cpp
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-TEST_CASE("A failure is reported while other upstreams respond") {
+TEST_CASE("a failure is reported while other upstreams respond") {
   auto fixture = link_fixture{};
   fixture.request("u0", upstream_outcome::served);
   fixture.request("u1", upstream_outcome::failed);
@@ -58,7 +58,7 @@
   CHECK(fixture.reports_[0].failed_);
 }
 
-TEST_CASE("A daemon with a failed link reports no failures and avoids no upstream") {
+TEST_CASE("a daemon with a failed link reports no failures and avoids no upstream") {
   auto fixture = link_fixture{};
   fixture.request("u0", upstream_outcome::served);
   fixture.clock_->advance(700);
@@ -71,7 +71,7 @@
   CHECK(fixture.avoided() == 0);
 }
 
-TEST_CASE("Simultaneous connection resets are attributed to the link") {
+TEST_CASE("simultaneous connection resets are attributed to the link") {
   auto link = local_link{};
   link.record_response("u0", 1000, 1010);
   for (const auto* id : {"u1", "u2", "u3"}) {
@@ -83,7 +83,7 @@
   CHECK(link.status_for("u1", 1205, 1210) == link_status::healthy);
 }
 
-TEST_CASE("The only upstream in use is avoided after failures even if the link is unproven") {
+TEST_CASE("the only upstream in use is avoided after failures even if the link is unproven") {
   auto fixture = link_fixture{};
   for (auto attempt = 0; attempt < 2; ++attempt) {
     fixture.request("u0", upstream_outcome::failed);
@@ -92,7 +92,7 @@
   CHECK(fixture.reports_.empty());
 }
 
-TEST_CASE("Requests delayed by a link outage do not indicate a stalled upstream") {
+TEST_CASE("requests delayed by a link outage do not indicate a stalled upstream") {
   auto fixture = link_fixture{};
   fixture.request("u0", upstream_outcome::served);
   auto unresponsive = fixture.directory_->find("u1");
@@ -113,7 +113,7 @@
   CHECK(fixture.avoided() == 1);
 }
 
-TEST_CASE("Each peer's failures count once until a success resets them") {
+TEST_CASE("each peer's failures count once until a success resets them") {
   auto health = upstream_health{};
   CHECK_FALSE(health.record_peer_failure("vm-1", 10000));
   CHECK_FALSE(health.record_peer_failure("vm-1", 10010));
@@ -127,7 +127,7 @@
   CHECK(health.avoided(10070));
 }
 
-TEST_CASE("A failed probe of a peer extends the avoidance") {
+TEST_CASE("a failed probe of a peer extends the avoidance") {
   auto health = upstream_health{};
   CHECK_FALSE(health.record_failure(10000));
   CHECK(health.record_failure(10010));
@@ -138,7 +138,7 @@
   CHECK(health.avoid_until() == 11400);
 }
 
-TEST_CASE("A success of a suspected upstream is reported to peers") {
+TEST_CASE("a success of a suspected upstream is reported to peers") {
   auto fixture = link_fixture{};
   fixture.request("u0", upstream_outcome::served);
   CHECK(fixture.reports_.empty());
--- a/unit_tests/upstream/shared_prefixes_test.cpp
+++ b/unit_tests/upstream/shared_prefixes_test.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-TEST_CASE("A part shared by all programs is expected at every engine, unlike parts of single programs") {
+TEST_CASE("a part shared by all programs is expected at every engine, unlike parts of single programs") {
   auto prefixes = record_programs(20, 500);
   CHECK(prefixes.expected_cached_tokens({shared, {110, 1000}}, cache_capacity, 10000) >= 2400);
   CHECK(prefixes.expected_cached_tokens({shared, {110, 1000}}, cache_capacity, 10000) <= 2500);
@@ -34,7 +34,7 @@
         0);  // Counts only as part of a cached prefix.
 }
 
-TEST_CASE("Turns of a single program do not make a part shared") {
+TEST_CASE("turns of a single program do not make a part shared") {
   auto prefixes = shared_prefixes{};
   for (auto turn = 0; turn < 20; ++turn) {
     prefixes.record("p", {shared}, 100, turn * 300);
@@ -42,7 +42,7 @@
   CHECK(prefixes.expected_cached_tokens({shared}, cache_capacity, 6000) == 0);
 }
 
-TEST_CASE("Parts are not expected if the cache turns over between uses or if they are no longer used") {
+TEST_CASE("parts are not expected if the cache turns over between uses or if they are no longer used") {
   auto prefixes = record_programs(20, 500);
   CHECK(prefixes.expected_cached_tokens({shared}, 500, 10000) == 0);
   for (auto program = 0; program < 60; ++program) {
@@ -51,7 +51,7 @@
   CHECK(prefixes.expected_cached_tokens({shared}, cache_capacity, 40000) == 0);
 }
 
-TEST_CASE("A shared part seen at one engine does not make a loaded engine preferred") {
+TEST_CASE("a shared part seen at one engine does not make a loaded engine preferred") {
   auto clock = std::make_shared<manual_clock>();
   clock->advance(100000);
   auto settings = upstream_directory_settings{"hall-a"};
--- a/unit_tests/upstream/upstream_directory_test.cpp
+++ b/unit_tests/upstream/upstream_directory_test.cpp
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-TEST_CASE("Independent daemons send a program's turns to the same upstream") {
+TEST_CASE("independent daemons send a program's turns to the same upstream") {
   auto first_daemon = directory_fixture{};
   auto second_daemon = directory_fixture{};
   for (auto program = 0U; program < 16; ++program) {
@@ -59,7 +59,7 @@
   }
 }
 
-TEST_CASE("A program leaves its affinity upstream when that is much more loaded than others") {
+TEST_CASE("a program leaves its affinity upstream when that is much more loaded than others") {
   auto fixture = directory_fixture{};
   auto criteria = criteria_for({{1, 500}, {2, 600}});
   criteria.affinity_key_ = "p1";
@@ -68,7 +68,7 @@
   CHECK(fixture.chosen(criteria) != affinity);
 }
 
-TEST_CASE("A prompt is sent to the engine that has its prefix cached") {
+TEST_CASE("a prompt is sent to the engine that has its prefix cached") {
   auto fixture = directory_fixture{};
   auto criteria = criteria_for({{1, 2000}, {2, 500}});
   auto first = fixture.directory_.find("u2");
@@ -80,7 +80,7 @@
   }
 }
 
-TEST_CASE("An idle upstream is preferred over a full one with the cached prefix") {
+TEST_CASE("an idle upstream is preferred over a full one with the cached prefix") {
   auto fixture = directory_fixture{};
   auto criteria = criteria_for({{1, 500}});
   auto busy = fixture.directory_.find("u2");
@@ -90,7 +90,7 @@
   REQUIRE(fixture.chosen(criteria) == "u1");
 }
 
-TEST_CASE("An upstream is avoided after two consecutive failures but used if no other is left") {
+TEST_CASE("an upstream is avoided after two consecutive failures but used if no other is left") {
   auto fixture = directory_fixture{};
   auto criteria = criteria_for({});
   auto failing = fixture.directory_.find("u1");
@@ -108,7 +108,7 @@
   REQUIRE(fixture.chosen(criteria).empty());
 }
 
-TEST_CASE("An upstream counts as full when this daemon reaches its limit of requests there") {
+TEST_CASE("an upstream counts as full when this daemon reaches its limit of requests there") {
   auto fixture = directory_fixture{};
   auto criteria = criteria_for({});
   auto busy = fixture.directory_.find("u2");
@@ -121,7 +121,7 @@
   REQUIRE(fixture.chosen(criteria) == "u1");
 }
 
-TEST_CASE("Failures and successes reported by peers are taken into account") {
+TEST_CASE("failures and successes reported by peers are taken into account") {
   auto fixture = directory_fixture{};
   auto reports = std::vector<upstream_health_report>{};
   fixture.directory_.on_health_report(
@@ -153,7 +153,7 @@
   REQUIRE(used.count("u1") == 1);
 }
 
-TEST_CASE("Avoided upstreams are used again when too few healthy ones are left") {
+TEST_CASE("avoided upstreams are used again when too few healthy ones are left") {
   auto fixture = directory_fixture{};
   for (const auto* id : {"u3", "u4", "u5"}) {
     fixture.directory_.put(entry_of(id));
@@ -179,7 +179,7 @@
   REQUIRE(choices() == 5);
 }
 
-TEST_CASE("An avoidance is extended by later failures but not by requests sent before it") {
+TEST_CASE("an avoidance is extended by later failures but not by requests sent before it") {
   auto health = upstream_health{};
   CHECK_FALSE(health.record_failure(10000));
   CHECK(health.record_failure(10010));
@@ -192,14 +192,14 @@
   CHECK_FALSE(health.avoided(10700));
 }
 
-TEST_CASE("Failures far apart in time do not add up") {
+TEST_CASE("failures far apart in time do not add up") {
   auto health = upstream_health{};
   for (auto now = milliseconds{10000}; now < 60000; now += 2000) {
     CHECK_FALSE(health.record_failure(now));
   }
 }
 
-TEST_CASE("An upstream is stalled when requests are pending without any response") {
+TEST_CASE("an upstream is stalled when requests are pending without any response") {
   auto health = upstream_health{};
   health.record_sent(10000);
   health.record_sent(10900);
@@ -213,7 +213,7 @@
   CHECK_FALSE(health.detect_stall(20000));
 }
 
-TEST_CASE("The cache model counts prefixes only and evicts the least recently used part") {
+TEST_CASE("the cache model counts prefixes only and evicts the least recently used part") {
   auto cache = prompt_cache{};
   cache.set_capacity(1000);
   cache.record_use({{1, 400}, {2, 300}});
--- a/unit_tests/upstream/upstream_start_test.cpp
+++ b/unit_tests/upstream/upstream_start_test.cpp
@@ -32,12 +32,12 @@
 
   static auto settings(std::uint64_t seed, const std::string& regions,
                        const std::shared_ptr<manual_clock>& clock) -> upstream_directory_settings {
-    auto made = upstream_directory_settings{};
-    made.data_hall_ = "a";
-    made.jitter_seed_ = seed;
-    made.regions_ = value(hall_regions::parse(regions));
-    made.clock_ = clock;
-    return made;
+    auto configured = upstream_directory_settings{};
+    configured.data_hall_ = "a";
+    configured.jitter_seed_ = seed;
+    configured.regions_ = value(hall_regions::parse(regions));
+    configured.clock_ = clock;
+    return configured;
   }
 
   auto chosen(const upstream_criteria& criteria) -> std::string {
@@ -53,7 +53,7 @@
 
 }  // namespace
 
-TEST_CASE("A new incarnation replaces an upstream, notifies its pending requests and inherits no state") {
+TEST_CASE("a new incarnation replaces an upstream, notifies its pending requests and inherits no state") {
   auto fixture = start_fixture{};
   fixture.directory_.put(entry_in("u1", "a", 1000));
   auto old_incarnation = fixture.directory_.find("u1");
@@ -79,7 +79,7 @@
   CHECK(fixture.directory_.find("u1") == new_incarnation);
 }
 
-TEST_CASE("Only failures of the current incarnation are reported to peers") {
+TEST_CASE("only failures of the current incarnation are reported to peers") {
   auto fixture = start_fixture{};
   auto reports = std::vector<upstream_health_report>{};
   fixture.directory_.on_health_report(
@@ -102,7 +102,7 @@
   CHECK(reports[0].born_ == 2000);
 }
 
-TEST_CASE("A session continues at the incarnation that ran it, not at a new one with the same id") {
+TEST_CASE("a session continues at the incarnation that ran it, not at a new one with the same id") {
   auto fixture = start_fixture{};
   fixture.policy_ =
       value(make_policy(policy_settings{policy_kind::program_aware, {{"prefill_rate", 45000}}}));
@@ -127,7 +127,7 @@
   CHECK(used.size() == 2);
 }
 
-TEST_CASE("A closed data hall gets no requests until it is opened") {
+TEST_CASE("a closed data hall gets no requests until it is opened") {
   auto fixture = start_fixture{};
   fixture.directory_.put(entry_in("u1", "a"));
   fixture.directory_.put(entry_in("u2", "b"));
@@ -145,7 +145,7 @@
   CHECK(fixture.chosen(make_criteria()).empty());
 }
 
-TEST_CASE("Region constraints intersect, and halls without a region violate every constraint") {
+TEST_CASE("region constraints intersect, and halls without a region violate every constraint") {
   auto fixture = start_fixture{1, "a=north,b=south"};
   fixture.directory_.put(entry_in("u1", "a"));
   fixture.directory_.put(entry_in("u2", "b"));
@@ -166,7 +166,7 @@
 
 /// Every daemon always has requests to send. The platform allows 1.5 times the rate plus five requests in any
 /// second.
-TEST_CASE("The rate limit of a cold upstream holds for the sum of all daemons") {
+TEST_CASE("the rate limit of a cold upstream holds for the sum of all daemons") {
   constexpr auto daemons = 58;
   constexpr auto limit_per_s = 32.0;
   constexpr auto step = milliseconds{10};
@@ -202,7 +202,7 @@
   CHECK(static_cast<double>(sent.size()) >= 30 * limit_per_s / 4);  // The upstream is not left idle.
 }
 
-TEST_CASE("Upstreams of a reopened data hall are cold until the cold start time has passed") {
+TEST_CASE("upstreams of a reopened data hall are cold until the cold start time has passed") {
   auto fixture = start_fixture{};
   fixture.directory_.put(entry_in("u1", "a"));
   auto target = fixture.directory_.find("u1");
@@ -217,7 +217,7 @@
 }
 
 TEST_CASE(
-    "A selection from a large pool considers a sample that includes the previous and the affinity upstream") {
+    "a selection from a large pool considers a sample that includes the previous and the affinity upstream") {
   constexpr auto upstreams = 10'000;
   auto fixture = start_fixture{};
   fixture.policy_ =
@@ -251,7 +251,7 @@
   CHECK(fixture.chosen(excluded) == "u9999");  // Found although outside the sample.
 }
 
-TEST_CASE("The cost of a selection does not grow with the number of upstreams") {
+TEST_CASE("the cost of a selection does not grow with the number of upstreams") {
   constexpr auto choices = 2000U;
   auto cost_of = [](int upstreams) {
     auto fixture = start_fixture{};
@@ -275,7 +275,7 @@
   CHECK(cost_of(20'000) <= 3 * cost_of(150));
 }
 
-TEST_CASE("Sampling distributes requests evenly over a large pool") {
+TEST_CASE("sampling distributes requests evenly over a large pool") {
   auto fixture = start_fixture{};
   constexpr auto upstreams = 1000;
   constexpr auto requests = upstreams * 3;  // Half of the slots.
